--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -87,14 +87,14 @@
 	return "removed"
 }
 
-func (s state) readiness() logic.Readiness {
+func (s state) readiness() logic.EndpointState {
 	switch s {
 	case up:
 		return logic.Ready
 	case draining:
 		return logic.Draining
 	}
-	return logic.Gone
+	return logic.Removed
 }
 
 // labels keeps each of few strings once. Place 0 is the empty string, and whatever comes when there are too many.
@@ -178,7 +178,7 @@
 		}
 		row := d.entry(id, r)
 		if !d.count(id, r) { // also where it was not told here: a process before may have
-			row.State = logic.Gone
+			row.State = logic.Removed
 		}
 		rows = append(rows, row)
 		if len(d.omitted[left]) > 0 {
@@ -269,7 +269,7 @@
 
 // entry is what the module is told of a record.
 func (d *Directory) entry(id logic.EndpointID, r *record) logic.Entry {
-	return logic.Entry{Endpoint: id, Zone: d.zones.places[r.zone], Kind: d.kinds.places[r.kind], Dest: r.dest,
+	return logic.Entry{Endpoint: id, Zone: d.zones.places[r.zone], Kind: d.kinds.places[r.kind], Destination: r.dest,
 		State: r.state.readiness(), Nominal: r.weight}
 }
 
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -82,7 +82,7 @@
 		t.Helper()
 		u := d.Reduce(l)
 		for _, row := range d.Apply(&u, time.Now()) {
-			if row.State == logic.Gone {
+			if row.State == logic.Removed {
 				delete(module, row.Endpoint)
 			} else {
 				module[row.Endpoint] = row
@@ -90,7 +90,7 @@
 		}
 		ready, other := 0, 0
 		for _, row := range module {
-			if row.Dest == 2 {
+			if row.Destination == 2 {
 				other++
 			} else if row.State == logic.Ready {
 				ready++
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -63,7 +63,7 @@
 		t.Errorf("without b: told %s", got)
 	}
 	rows := d.Apply(&less.Update, time.Now())
-	if len(rows) != 1 || rows[0].State != logic.Gone || d.Len() != 2 {
+	if len(rows) != 1 || rows[0].State != logic.Removed || d.Len() != 2 {
 		t.Errorf("without b: the module is told %+v, %d are listed", rows, d.Len())
 	}
 }
@@ -170,7 +170,7 @@
 	type told struct {
 		zone, kind int
 		dest       int64
-		state      logic.Readiness
+		state      logic.EndpointState
 		weight     float64
 		addr       string
 	}
@@ -210,10 +210,10 @@
 			}
 			for _, row := range rows {
 				to, _ := d.Target(row.Endpoint)
-				if row.State == logic.Gone {
+				if row.State == logic.Removed {
 					delete(got, names[row.Endpoint])
 				} else {
-					got[names[row.Endpoint]] = told{row.Zone, row.Kind, row.Dest, row.State, row.Nominal, to.Addr}
+					got[names[row.Endpoint]] = told{row.Zone, row.Kind, row.Destination, row.State, row.Nominal, to.Addr}
 				}
 			}
 			if !maps.Equal(got, want) || d.Len() != len(want) {
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -239,11 +239,11 @@
 func (w *toldWorld) play(t *testing.T, senders int, seed uint64, until time.Duration) {
 	t.Helper()
 	kinds := []logic.Kind{{Name: "k", Batch: 1}}
-	set := logic.Settings{Senders: senders, Zones: 1, Slots: 8, MaxOpen: 400, MaxTries: 6, Tick: 5000, OnRequest: !w.pushed, Pushed: w.pushed, MayCancel: true,
+	set := logic.Settings{Senders: senders, Zones: 1, Slots: 8, MaxOpen: 400, MaxTries: 6, Tick: 5000, ListOnRequest: !w.pushed, ListPushed: w.pushed, MayCancel: true,
 		Classes: []logic.Class{{Name: "a", Aim: logic.Second, Deadline: 2 * logic.Second, Worth: 1, LateWorth: 0.5}}, Kinds: kinds,
-		DrainGrace: micros(w.grace), FallMultiple: 2, FallWindow: 2 * logic.Second, ColdFrom: 0.2, WarmAfter: 14 * logic.Second, ReportLeft: -1, ReportLimit: -1}
+		DrainGrace: micros(w.grace), FallMultiple: 2, FallWindow: 2 * logic.Second, ColdFrom: 0.2, WarmAfter: 14 * logic.Second, LimitLeftIndex: -1, LimitIndex: -1}
 	if senders >= SpreadFrom && !w.pushed {
-		set.ListAge = micros(ListAge) + set.DrainGrace
+		set.MaxListAge = micros(ListAge) + set.DrainGrace
 	}
 	sender, err := logic.New(set, seed)
 	if err != nil {
@@ -257,7 +257,7 @@
 	client.Begin(0, !w.pushed || seed%2 == 0) // a first start has no other rights where the list is pushed
 	ctx, stop := context.WithCancel(t.Context())
 	var watches sync.WaitGroup
-	watching, next := w.pushed, []logic.Event{logic.Endpoints{Form: logic.ListCached, Entries: dir.Entries(), Old: true}}
+	watching, next := w.pushed, []logic.Event{logic.ListUpdate{Form: logic.ListCached, Entries: dir.Entries(), Stale: true}}
 	if watching { // the module need not ask
 		watches.Go(func() { client.Watch(ctx) })
 	}
@@ -271,9 +271,9 @@
 				switch a := a.(type) {
 				case logic.CallOut:
 					w.sends = append(w.sends, w.now())
-					next = append(next, logic.Reply{ID: a.ID, NoMore: true, Endpoint: a.Endpoint, Outcome: logic.Completed, Took: 1000})
+					next = append(next, logic.AttemptResult{ID: a.ID, MessageEnded: true, Endpoint: a.Endpoint, Outcome: logic.Completed, Duration: 1000})
 				case logic.SetTimer:
-					due := logic.Due{Token: a.Token}
+					due := logic.TimerExpired{Token: a.Token}
 					time.AfterFunc(time.Duration(a.Wait)*time.Microsecond, func() {
 						select {
 						case events <- due:
@@ -291,7 +291,7 @@
 		select {
 		case <-chat.C:
 			id++
-			next = append(next, logic.Call{ID: fmt.Sprint("m", id), Left: 2 * logic.Second, Tenant: -1})
+			next = append(next, logic.NewMessage{ID: fmt.Sprint("m", id), TimeLeft: 2 * logic.Second, Tenant: -1})
 		case <-wake:
 		case <-over:
 			chat.Stop()
@@ -300,7 +300,7 @@
 			client.client.CloseIdleConnections()
 			return
 		case ev := <-events:
-			due, ok := ev.(logic.Due)
+			due, ok := ev.(logic.TimerExpired)
 			if ok {
 				next = append(next, due)
 				continue
@@ -315,13 +315,13 @@
 	switch {
 	case ev.Err != nil:
 		*watching = false
-		return []logic.Event{logic.Endpoints{Form: logic.ListFailed, Silent: ev.Silent}}
+		return []logic.Event{logic.ListUpdate{Form: logic.ListRequestFailed, Unresponsive: ev.Silent}}
 	case ev.Watched:
-		return []logic.Event{logic.Endpoints{Form: logic.ListWatched}}
+		return []logic.Event{logic.ListUpdate{Form: logic.ListWatchOpen}}
 	case ev.Begun:
-		return []logic.Event{logic.Endpoints{Form: logic.ListBegun}}
+		return []logic.Event{logic.ListUpdate{Form: logic.ListAnswerBegun}}
 	case ev.Unusable:
-		return []logic.Event{logic.Endpoints{Form: logic.ListUnusable}}
+		return []logic.Event{logic.ListUpdate{Form: logic.ListAnswerUnusable}}
 	}
 	rows := dir.Apply(&ev.Update, time.Now())
 	ev.Done()
@@ -330,7 +330,7 @@
 			w.arrived[n] = w.now()
 		}
 	}
-	return []logic.Event{logic.Endpoints{Form: logic.ListDelta, Entries: rows}}
+	return []logic.Event{logic.ListUpdate{Form: logic.ListDelta, Entries: rows}}
 }
 
 // told is when a change counts as told: what happened to calls before it arrived puts it off.
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -75,7 +75,7 @@
 // deny answers the module for a call that the guard has stopped: it was never sent.
 func (n *Node) deny(a logic.CallOut) {
 	h := n.held[a.ID]
-	ev := replyEvent{&call{id: a.ID, attempt: h.tries, ep: a.Endpoint, state: new(atomic.Int32)}, result{outcome: logic.Moot}, 0}
+	ev := replyEvent{&call{id: a.ID, attempt: h.tries, ep: a.Endpoint, state: new(atomic.Int32)}, result{outcome: logic.NotSent}, 0}
 	h.tries++
 	time.AfterFunc(retryPause, func() { n.events <- ev })
 }
@@ -101,7 +101,7 @@
 			n.notices.add(x)
 		}
 	case logic.SetTimer:
-		ev := logic.Due{Token: a.Token}
+		ev := logic.TimerExpired{Token: a.Token}
 		time.AfterFunc(span(a.Wait), func() { n.events <- ev })
 	case logic.Probe:
 		n.probe(work, a.Endpoint)
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -288,9 +288,9 @@
 		o.answer <- nil // it is so already
 		return
 	}
-	rec, ev := record{Op: opTakeOut, ID: o.id}, logic.Event(logic.TakeOut{Endpoint: ep})
+	rec, ev := record{Op: opTakeOut, ID: o.id}, logic.Event(logic.Ban{Endpoint: ep})
 	if o.back {
-		rec, ev = record{Op: opPutBack, ID: o.id}, logic.PutBack{Endpoint: ep}
+		rec, ev = record{Op: opPutBack, ID: o.id}, logic.Unban{Endpoint: ep}
 	}
 	if err := n.journal.Append([]record{rec}); err != nil {
 		n.log.Error("journal", "err", err)
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -48,7 +48,7 @@
 		kept.Close()
 	}
 	if h == nil { // never taken on; the module is still owed its one outcome
-		n.next = append(n.next, logic.Reply{ID: a.ID, NoMore: true, Endpoint: a.Endpoint, Outcome: logic.Moot})
+		n.next = append(n.next, logic.AttemptResult{ID: a.ID, MessageEnded: true, Endpoint: a.Endpoint, Outcome: logic.NotSent})
 		return
 	}
 	attempt := h.tries
@@ -73,7 +73,7 @@
 				kept.Close()
 			}
 		}
-		ev := replyEvent{in, result{outcome: logic.Moot}, 0}
+		ev := replyEvent{in, result{outcome: logic.NotSent}, 0}
 		time.AfterFunc(retryPause, func() { n.events <- ev }) // a full disk, say: room may come
 		return
 	}
@@ -104,14 +104,14 @@
 func (n *Node) holdWait(ep logic.EndpointID) {
 	to := n.target(ep)
 	kinds := n.cfg.Deploy.Settings.Kinds
-	apart := to.Kind >= 0 && to.Kind < len(kinds) && kinds[to.Kind].Apart
+	apart := to.Kind >= 0 && to.Kind < len(kinds) && kinds[to.Kind].SeparateRoutes
 	n.hold(func(x logic.EndpointID) bool { return x == ep || !apart && n.target(x).Dest == to.Dest })
 }
 
 func (n *Node) probe(work context.Context, ep logic.EndpointID) {
 	addr := n.target(ep).Addr
 	go func() {
-		out := logic.RefusedConn
+		out := logic.ConnRefused
 		if req, err := probeRequest(addr); err == nil {
 			out = n.caller.do(work, &call{ep: ep, addr: addr, at: time.Now(), giveUp: probeTime, request: req,
 				state: new(atomic.Int32)}).outcome
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -58,7 +58,7 @@
 var errParked = errors.New("set aside")
 
 // unanswered names, in the tally, the ends of a call that no answer came to.
-var unanswered = map[logic.Outcome]string{logic.Severed: "broken", logic.Overdue: "timed_out", logic.Recalled: "called_off"}
+var unanswered = map[logic.Outcome]string{logic.ConnBroken: "broken", logic.TimedOut: "timed_out", logic.Cancelled: "called_off"}
 
 // errNoDescriptor ends a call for which no descriptor came free, or that this machine could not make: it says nothing of
 // the endpoint.
@@ -150,11 +150,11 @@
 		if err == nil && !c.put(in.ep, conn) {
 			conn.Close()
 		}
-		return result{outcome: logic.Moot}
+		return result{outcome: logic.NotSent}
 	}
 	if err != nil {
 		c.note("not_connected")
-		return result{outcome: logic.RefusedConn}
+		return result{outcome: logic.ConnRefused}
 	}
 	conn.SetDeadline(deadline)
 	quiet := wakeOn(ctx, conn)
@@ -162,14 +162,14 @@
 	if err := in.request.Write(&b); err != nil {
 		quiet()
 		conn.Close()
-		return result{outcome: logic.RefusedConn}
+		return result{outcome: logic.ConnRefused}
 	}
 	_, err = conn.Write(b.Bytes())
 	quiet()
 	if err != nil {
 		conn.Close()
 		c.note("not_written")
-		return result{outcome: logic.RefusedConn} // its last byte was not written
+		return result{outcome: logic.ConnRefused} // its last byte was not written
 	}
 	in.state.Store(callSent)
 	return c.await(ctx, in, conn, deadline)
@@ -206,13 +206,13 @@
 	if isTimeout(err) && errors.Is(context.Cause(ctx), errParked) && time.Now().Before(deadline) {
 		return result{parked: conn}
 	}
-	given := logic.Severed
+	given := logic.ConnBroken
 	if isTimeout(err) {
 		// Given up. The endpoint is told by the end of our sending, and given a moment to see it: a next call
 		// must not meet this one. An answer that is on its way counts.
-		given = logic.Overdue
+		given = logic.TimedOut
 		if ctx.Err() != nil && !errors.Is(context.Cause(ctx), errParked) {
-			given = logic.Recalled
+			given = logic.Cancelled
 		}
 		if t, ok := conn.Conn.(*net.TCPConn); ok {
 			t.CloseWrite()
@@ -225,12 +225,12 @@
 		return result{outcome: given}
 	}
 	conn.SetDeadline(time.Now().Add(headTime))
-	if given == logic.Severed {
+	if given == logic.ConnBroken {
 		if c.headParked(ctx, conn) {
 			return result{parked: conn}
 		}
 		if ctx.Err() != nil { // called off with half a head: the rest has a moment, as any answer on its way
-			given = logic.Recalled
+			given = logic.Cancelled
 			conn.SetDeadline(time.Now().Add(c.linger))
 		}
 	}
@@ -249,7 +249,7 @@
 		return result{outcome: given}
 	}
 	c.note(statusName(resp.StatusCode))
-	if given == logic.Severed {
+	if given == logic.ConnBroken {
 		keep = c.finish(conn, resp)
 	}
 	r = outcomeOf(resp)
@@ -417,16 +417,16 @@
 		if err != nil || ms < 0 {
 			ms = 0
 		}
-		return result{outcome: logic.Full, wait: time.Duration(min(ms, maxHold.Milliseconds())) * time.Millisecond}
+		return result{outcome: logic.Rejected, wait: time.Duration(min(ms, maxHold.Milliseconds())) * time.Millisecond}
 	case http.StatusServiceUnavailable:
 		if resp.Header.Get("X-Line-Busy") == "1" {
-			return result{outcome: logic.Moot}
+			return result{outcome: logic.NotSent}
 		}
-		return result{outcome: logic.Full}
+		return result{outcome: logic.Rejected}
 	case http.StatusGatewayTimeout:
-		return result{outcome: logic.Moot}
+		return result{outcome: logic.NotSent}
 	case http.StatusGone:
-		return result{outcome: logic.Moot, over: true}
+		return result{outcome: logic.NotSent, over: true}
 	}
 	return result{outcome: logic.Errored}
 }
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -44,13 +44,13 @@
 		{200, nil, result{outcome: logic.Completed}},
 		{500, nil, result{outcome: logic.Errored}},
 		{400, nil, result{outcome: logic.Errored}},
-		{429, []string{"X-Come-Back-Ms: 250"}, result{outcome: logic.Full, wait: 250 * time.Millisecond}},
-		{429, []string{"X-Come-Back-Ms: -1"}, result{outcome: logic.Full}},
-		{429, []string{"X-Come-Back-Ms: soon"}, result{outcome: logic.Full}},
-		{503, nil, result{outcome: logic.Full}},
-		{503, []string{"X-Line-Busy: 1"}, result{outcome: logic.Moot}},
-		{504, nil, result{outcome: logic.Moot}},
-		{410, nil, result{outcome: logic.Moot, over: true}},
+		{429, []string{"X-Come-Back-Ms: 250"}, result{outcome: logic.Rejected, wait: 250 * time.Millisecond}},
+		{429, []string{"X-Come-Back-Ms: -1"}, result{outcome: logic.Rejected}},
+		{429, []string{"X-Come-Back-Ms: soon"}, result{outcome: logic.Rejected}},
+		{503, nil, result{outcome: logic.Rejected}},
+		{503, []string{"X-Line-Busy: 1"}, result{outcome: logic.NotSent}},
+		{504, nil, result{outcome: logic.NotSent}},
+		{410, nil, result{outcome: logic.NotSent, over: true}},
 	} {
 		got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
 		in := await(t, e.calls, "call")
@@ -95,7 +95,7 @@
 	}
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
-	if r := await(t, got, "result"); r.outcome != logic.RefusedConn {
+	if r := await(t, got, "result"); r.outcome != logic.ConnRefused {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 }
@@ -105,7 +105,7 @@
 	e, c := newEndpoint(t), testCaller()
 	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
 	await(t, e.calls, "call").reset()
-	if r := await(t, got, "result"); r.outcome != logic.Severed {
+	if r := await(t, got, "result"); r.outcome != logic.ConnBroken {
 		t.Errorf("reset: got %+v, want Severed", r)
 	}
 	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
@@ -113,7 +113,7 @@
 	io.WriteString(in.conn, "HTTP/1.1 2")
 	in.conn.Close()
 	in.done <- false
-	if r := await(t, got, "result"); r.outcome != logic.Severed {
+	if r := await(t, got, "result"); r.outcome != logic.ConnBroken {
 		t.Errorf("half an answer: got %+v, want Severed", r)
 	}
 }
@@ -122,7 +122,7 @@
 func TestConnectionRefused(t *testing.T) {
 	e, c := newEndpoint(t), testCaller()
 	e.ln.Close()
-	if r := c.do(t.Context(), newCall(t, e.addr(), "hello", patience)); r.outcome != logic.RefusedConn {
+	if r := c.do(t.Context(), newCall(t, e.addr(), "hello", patience)); r.outcome != logic.ConnRefused {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 }
@@ -182,14 +182,14 @@
 	cancel()
 	in.awaitEnd(t)
 	in.reset()
-	if r := await(t, got, "result"); r.outcome != logic.Recalled {
+	if r := await(t, got, "result"); r.outcome != logic.Cancelled {
 		t.Errorf("cancelled: got %+v, want Recalled", r)
 	}
 	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", 30*time.Millisecond))
 	in = await(t, e.calls, "call")
 	in.awaitEnd(t)
 	in.reset()
-	if r := await(t, got, "result"); r.outcome != logic.Overdue {
+	if r := await(t, got, "result"); r.outcome != logic.TimedOut {
 		t.Errorf("timed out: got %+v, want Overdue", r)
 	}
 	ctx, cancel = context.WithCancel(t.Context())
@@ -204,7 +204,7 @@
 	c.linger = time.Millisecond // an endpoint that does not react
 	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", 30*time.Millisecond))
 	in = await(t, e.calls, "call")
-	if r := await(t, got, "result"); r.outcome != logic.Overdue {
+	if r := await(t, got, "result"); r.outcome != logic.TimedOut {
 		t.Errorf("silent: got %+v, want Overdue", r)
 	}
 	in.awaitEnd(t)
@@ -218,7 +218,7 @@
 	e, c := newEndpoint(t), testCaller()
 	ctx, cancel := context.WithCancel(t.Context())
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { cancel(); return nil }
-	if r := c.do(ctx, newCall(t, e.addr(), "hello", patience)); r.outcome != logic.RefusedConn {
+	if r := c.do(ctx, newCall(t, e.addr(), "hello", patience)); r.outcome != logic.ConnRefused {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 	e.none(t)
@@ -232,7 +232,7 @@
 		in.state.CompareAndSwap(callConnecting, callHeld)
 		return nil
 	}
-	if r := c.do(t.Context(), in); r.outcome != logic.Moot {
+	if r := c.do(t.Context(), in); r.outcome != logic.NotSent {
 		t.Errorf("got %+v, want Moot", r)
 	}
 	e.none(t)
@@ -243,7 +243,7 @@
 	e, c := newEndpoint(t), testCaller()
 	in := newCall(t, e.addr(), "hello", patience)
 	in.writeBy = time.Now().Add(-time.Millisecond)
-	if r := c.do(t.Context(), in); r.outcome != logic.Moot {
+	if r := c.do(t.Context(), in); r.outcome != logic.NotSent {
 		t.Errorf("got %+v, want Moot", r)
 	}
 	e.none(t)
@@ -271,11 +271,11 @@
 		"HTTP/1.0 200\r\n\x00: \x01\r\n\r\n":                      logic.Completed,
 		"HTTP/1.1 200 O":                                          logic.Completed,
 		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nbad\r\n": logic.Completed,
-		"HTTP/1.1 20":                        logic.Severed,
-		"HTTP/1.1 2000 OK\r\n\r\n":           logic.Severed,
-		"HTTP/1.1 503 x\r\nno colon\r\n\r\n": logic.Severed,
-		"200 OK\r\n\r\n":                     logic.Severed,
-		"\x00\x01\x02":                       logic.Severed,
+		"HTTP/1.1 20":                        logic.ConnBroken,
+		"HTTP/1.1 2000 OK\r\n\r\n":           logic.ConnBroken,
+		"HTTP/1.1 503 x\r\nno colon\r\n\r\n": logic.ConnBroken,
+		"200 OK\r\n\r\n":                     logic.ConnBroken,
+		"\x00\x01\x02":                       logic.ConnBroken,
 	} {
 		got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
 		in := await(t, e.calls, "call")
@@ -306,7 +306,7 @@
 	at := time.Now()
 	cancel(nil)
 	r := await(t, ended, "outcome")
-	if took := time.Since(at); r.outcome != logic.Recalled || took > headTime/2 {
+	if took := time.Since(at); r.outcome != logic.Cancelled || took > headTime/2 {
 		t.Errorf("%v after %v, want recalled at once", r.outcome, took)
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -134,7 +134,7 @@
 	if deploy.Unread != nil {
 		cfg.Doubts = append(cfg.Doubts, fmt.Sprintf("settings: %v; taken for missing", deploy.Unread))
 	}
-	cfg.Doubts = append(cfg.Doubts, cfg.Deploy.Settings.Mend()...)
+	cfg.Doubts = append(cfg.Doubts, cfg.Deploy.Settings.ReplaceInvalid()...)
 	if t := &cfg.Deploy.ConnectTimeout; *t <= 0 || *t > logic.Micros(time.Minute.Microseconds()) {
 		cfg.Doubts = append(cfg.Doubts, fmt.Sprintf("settings: a connect timeout of %d us makes no sense, taken for 1 s", *t))
 		*t = logic.Second
--- a/internal/node/crash_test.go
+++ b/internal/node/crash_test.go
@@ -121,7 +121,7 @@
 	} {
 		in := newCall(t, e.addr(), "hello", patience)
 		in.allow = allow
-		if r := c.do(ctx, in); r.outcome != logic.Moot {
+		if r := c.do(ctx, in); r.outcome != logic.NotSent {
 			t.Errorf("got %+v, want Moot", r)
 		}
 	}
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -58,7 +58,7 @@
 			}
 		}})
 		r := c.do(t.Context(), in)
-		if !reset && r.outcome != logic.Severed || reset && r.outcome != logic.RefusedConn {
+		if !reset && r.outcome != logic.ConnBroken || reset && r.outcome != logic.ConnRefused {
 			t.Errorf("reset %v: got %+v", reset, r) // a reset shows before the write: nothing is written
 		}
 		e.none(t)
@@ -81,7 +81,7 @@
 		h := &held{msg: &Message{ID: in.id}, call: in, stop: stop}
 		n := &Node{held: map[string]*held{in.id: h}, open: 1, recent: map[string]time.Time{}, clock: clock.New()}
 		n.finish(in.id, h) // before its goroutine has begun
-		if r := c.do(ctx, in); r.outcome != logic.Moot {
+		if r := c.do(ctx, in); r.outcome != logic.NotSent {
 			t.Fatalf("got %+v", r)
 		}
 	}
@@ -99,7 +99,7 @@
 	for range 50 {
 		in := newCall(t, e.addr(), "hello", patience)
 		in.kept = c.take(in.ep, in.addr)
-		if r := c.do(ctx, in); r.outcome != logic.Moot {
+		if r := c.do(ctx, in); r.outcome != logic.NotSent {
 			t.Fatalf("got %+v", r)
 		}
 	}
@@ -114,7 +114,7 @@
 		<-time.After(time.Until(in.at.Add(in.giveUp + time.Millisecond)))
 		return true
 	}
-	if r := c.do(t.Context(), in); r.outcome != logic.RefusedConn {
+	if r := c.do(t.Context(), in); r.outcome != logic.ConnRefused {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 	await(t, e.conns, "connection")
@@ -131,10 +131,10 @@
 		{"HTTP/1.1 200 OK\r\n", "X-More: of it\r\n", logic.Completed},
 		{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "4\r\nmore\r\n", logic.Completed},
 		{"HTTP/1.1 200 OK\r\n\r\n", "more", logic.Completed},
-		{"HTTP/1.1 503 x\r\n\r\n", "more", logic.Full},
-		{"HTTP/1.1 503 x\r\n", "X-More: of it\r\n", logic.Severed},
-		{"", "HTTP/1.1 100 Continue\r\n\r\n", logic.Severed},
-		{"HTTP/1.1 ", "5", logic.Severed},
+		{"HTTP/1.1 503 x\r\n\r\n", "more", logic.Rejected},
+		{"HTTP/1.1 503 x\r\n", "X-More: of it\r\n", logic.ConnBroken},
+		{"", "HTTP/1.1 100 Continue\r\n\r\n", logic.ConnBroken},
+		{"HTTP/1.1 ", "5", logic.ConnBroken},
 	} {
 		got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
 		in := await(t, e.calls, "call")
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -50,7 +50,7 @@
 		}
 		start := recordStart(n)
 		n.resume()
-		if old := n.next[0].(logic.Endpoints).Old; old != want || start.restart != want || start.generation != 1 {
+		if old := n.next[0].(logic.ListUpdate).Stale; old != want || start.restart != want || start.generation != 1 {
 			t.Errorf("old %v, the watch begins with %+v, want %v", old, start, want)
 		}
 		switch i { // 0: nothing was ever written
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -126,7 +126,7 @@
 
 // waitTargetOf is where a wait of an endpoint holds.
 func (n *Node) waitTargetOf(ep logic.EndpointID, to discovery.Target) waitTarget {
-	if kinds := n.cfg.Deploy.Settings.Kinds; to.Kind >= 0 && to.Kind < len(kinds) && kinds[to.Kind].Apart {
+	if kinds := n.cfg.Deploy.Settings.Kinds; to.Kind >= 0 && to.Kind < len(kinds) && kinds[to.Kind].SeparateRoutes {
 		return waitTarget{to.Dest, ep}
 	}
 	return waitTarget{dest: to.Dest}
@@ -149,7 +149,7 @@
 		return ruleWait
 	case n.mayNotRepeat(h.msg, now):
 		return ruleRepeat
-	case n.sender.Unconfirmed(micros(time.Since(n.start))):
+	case n.sender.ListUnconfirmed(micros(time.Since(n.start))):
 		return ruleUnconfirmed
 	case set.MaxTries > 0 && h.tries > set.MaxTries:
 		return ruleAttempts
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -158,7 +158,7 @@
 	for len(n.next) > 0 {
 		events := n.next
 		n.next = nil
-		n.carryOut(work, n.sender.Settle(micros(time.Since(n.start)), events))
+		n.carryOut(work, n.sender.ApplyWithoutSending(micros(time.Since(n.start)), events))
 	}
 	p, conns, left := n.pack(to.inRows)
 	err := n.send(to, p, conns, stopped)
@@ -248,7 +248,7 @@
 	p := &stateTransfer{At: n.clock.Now(), Clock: micros(time.Since(n.start)), Discovery: n.disc.Address(),
 		Generation: n.generation, Recent: map[string]int64{}}
 	if inRows {
-		p.Module, p.Names = n.sender.SaveRest(), n.names()
+		p.Module, p.Names = n.sender.SaveWithoutTables(), n.names()
 	} else {
 		p.Module, p.IDs, p.Targets = n.sender.Save(), map[string]logic.EndpointID{}, map[logic.EndpointID]transferTarget{}
 		for name, id := range n.dir.Names() {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -69,7 +69,7 @@
 			continue
 		case <-n.moves:
 			if !n.watching { // a watch that is out goes to the new address by itself
-				n.next = append(n.next, logic.Moved{})
+				n.next = append(n.next, logic.DiscoveryMoved{})
 			}
 		case <-sweep.C:
 			n.caller.sweep()
@@ -138,7 +138,7 @@
 		n.next = append(n.next, logic.HealthResult{Endpoint: ev.ep, Outcome: ev.outcome})
 	case discovery.Event:
 		n.list(ev)
-	case logic.Due:
+	case logic.TimerExpired:
 		n.next = append(n.next, ev)
 	case noticedEvent:
 		for _, id := range ev.ids {
@@ -150,7 +150,7 @@
 		n.records = nil
 	case closingEvent:
 		n.closing = true
-		n.next = append(n.next, logic.Closing{Left: micros(ev.left)})
+		n.next = append(n.next, logic.Stopping{TimeLeft: micros(ev.left)})
 	}
 }
 
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -69,21 +69,21 @@
 func (n *Node) list(ev discovery.Event) {
 	if ev.Err != nil {
 		n.watching = false
-		n.next = append(n.next, logic.Endpoints{Form: logic.ListFailed, Silent: ev.Silent})
+		n.next = append(n.next, logic.ListUpdate{Form: logic.ListRequestFailed, Unresponsive: ev.Silent})
 		if n.disc.IsMoved() { // meanwhile, so the failure was not the new address's
-			n.next = append(n.next, logic.Moved{})
+			n.next = append(n.next, logic.DiscoveryMoved{})
 		}
 		return
 	}
 	switch {
 	case ev.Watched:
-		n.next = append(n.next, logic.Endpoints{Form: logic.ListWatched})
+		n.next = append(n.next, logic.ListUpdate{Form: logic.ListWatchOpen})
 		return
 	case ev.Begun:
-		n.next = append(n.next, logic.Endpoints{Form: logic.ListBegun})
+		n.next = append(n.next, logic.ListUpdate{Form: logic.ListAnswerBegun})
 		return
 	case ev.Unusable:
-		n.next = append(n.next, logic.Endpoints{Form: logic.ListUnusable})
+		n.next = append(n.next, logic.ListUpdate{Form: logic.ListAnswerUnusable})
 		return
 	}
 	u := &ev.Update
@@ -102,11 +102,11 @@
 		n.log.Info("list", "generation", u.Generation, "whole", u.Whole, "entries", len(rows), "listed", n.dir.Len())
 	}
 	// A whole list comes as what it changes: the module is told the same, and that the list is fresh.
-	n.next = append(n.next, logic.Endpoints{Form: logic.ListDelta, Entries: rows})
+	n.next = append(n.next, logic.ListUpdate{Form: logic.ListDelta, Entries: rows})
 	if len(rows) == 0 {
 		return
 	}
-	changed := make(map[logic.EndpointID]logic.Readiness, len(rows))
+	changed := make(map[logic.EndpointID]logic.EndpointState, len(rows))
 	for _, row := range rows {
 		changed[row.Endpoint] = row.State
 	}
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -24,8 +24,8 @@
 }
 
 // callOf is the module's view of a message.
-func (n *Node) callOf(m *Message, now int64) logic.Call {
-	c := logic.Call{ID: m.ID, Key: m.Order, Left: logic.Micros(m.Deadline - now), Dest: m.Dest, Tenant: -1, Class: n.cfg.Classes[m.Class]}
+func (n *Node) callOf(m *Message, now int64) logic.NewMessage {
+	c := logic.NewMessage{ID: m.ID, Key: m.Order, TimeLeft: logic.Micros(m.Deadline - now), Destination: m.Dest, Tenant: -1, Class: n.cfg.Classes[m.Class]}
 	if t, ok := n.cfg.Tenants[m.Tenant]; ok && m.Tenant != "" {
 		c.Tenant = t
 	}
@@ -106,8 +106,8 @@
 	if h.over {
 		delete(n.held, ev.call.id)
 	}
-	n.next = append(n.next, logic.Reply{ID: ev.call.id, NoMore: ended || done, Endpoint: ev.call.ep,
-		Attempt: ev.call.attempt, Outcome: r.outcome, Took: micros(ev.took), Wait: micros(r.wait),
+	n.next = append(n.next, logic.AttemptResult{ID: ev.call.id, MessageEnded: ended || done, Endpoint: ev.call.ep,
+		Attempt: ev.call.attempt, Outcome: r.outcome, Duration: micros(ev.took), RetryAfter: micros(r.wait),
 		Load: n.loadOf(r.report)})
 }
 
@@ -121,9 +121,9 @@
 		place := -1
 		switch name {
 		case "x0":
-			place = set.ReportLeft
+			place = set.LimitLeftIndex
 		case "x1":
-			place = set.ReportLimit
+			place = set.LimitIndex
 		}
 		x, err := strconv.ParseFloat(value, 64)
 		if place < 0 || err != nil || !(x >= 0 && x <= math.MaxFloat32) {
@@ -139,7 +139,7 @@
 
 // mayHaveRun says what an outcome leaves open.
 func mayHaveRun(o logic.Outcome) bool {
-	return o != logic.Full && o != logic.RefusedConn && o != logic.Moot
+	return o != logic.Rejected && o != logic.ConnRefused && o != logic.NotSent
 }
 
 // finish takes a message off the books; its id is remembered until its time is up. A call of it that is out and not
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -103,9 +103,9 @@
 
 // setMembershipMode sets what follows for the module from where the list comes from.
 func setMembershipMode(set *logic.Settings) {
-	set.Pushed = !set.OnRequest
-	if set.OnRequest && set.Senders >= discovery.SpreadFrom { // with pauses between its calls for the list
-		set.ListAge = micros(discovery.ListAge) + set.DrainGrace
+	set.ListPushed = !set.ListOnRequest
+	if set.ListOnRequest && set.Senders >= discovery.SpreadFrom { // with pauses between its calls for the list
+		set.MaxListAge = micros(discovery.ListAge) + set.DrainGrace
 	}
 }
 
@@ -151,7 +151,7 @@
 // logSettings writes what decides most of what the sender does.
 func (n *Node) logSettings() {
 	set := &n.cfg.Deploy.Settings
-	n.log.Info("settings", "on_request", set.OnRequest, "senders", set.Senders, "drain_grace", span(set.DrainGrace).String(),
+	n.log.Info("settings", "on_request", set.ListOnRequest, "senders", set.Senders, "drain_grace", span(set.DrainGrace).String(),
 		"slots", set.Slots, "max_open", set.MaxOpen, "known", len(n.cfg.Known.Instances), "generation", n.cfg.Known.Generation)
 }
 
@@ -172,7 +172,7 @@
 // discoveryClient is the client that watches the list for this sender.
 func (n *Node) discoveryClient() *discovery.Client {
 	set := &n.cfg.Deploy.Settings
-	return discovery.NewClient(discovery.Config{Addr: n.cfg.Discovery, Senders: set.Senders, Pushed: set.Pushed, Grace: span(set.DrainGrace),
+	return discovery.NewClient(discovery.Config{Addr: n.cfg.Discovery, Senders: set.Senders, Pushed: set.ListPushed, Grace: span(set.DrainGrace),
 		Seed: n.cfg.Seed, MaxBytes: n.cfg.Limits.listBytes(), Directory: n.dir, Store: n.saved, Log: n.log}, n.events)
 }
 
@@ -223,7 +223,7 @@
 	if err := n.expectSuccessors(work); err != nil {
 		n.log.Error("no handover to a new process will be possible", "err", err)
 	}
-	if !n.cfg.Deploy.Settings.OnRequest {
+	if !n.cfg.Deploy.Settings.ListOnRequest {
 		n.listen(work) // the module is told of changes without asking; on a socket somebody must ask
 	}
 	go n.notices.run(work)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -303,7 +303,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Deploy.Settings.OnRequest {
+	if cfg.Deploy.Settings.ListOnRequest {
 		t.Fatal("the list is not pushed in this configuration")
 	}
 	n := startConfig(t, cfg, t.TempDir())
@@ -632,7 +632,7 @@
 			t.Fatal(err)
 		}
 		cfg.StateDir = t.TempDir()
-		cfg.Deploy.Settings.Kinds[0].Apart = x.apart
+		cfg.Deploy.Settings.Kinds[0].SeparateRoutes = x.apart
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
@@ -658,8 +658,8 @@
 
 // Whether an attempt may have run decides after a restart whether an unsafe message is sent again.
 func TestMayHaveRunByOutcome(t *testing.T) {
-	for o, want := range map[logic.Outcome]bool{logic.Completed: true, logic.Errored: true, logic.Overdue: true,
-		logic.Severed: true, logic.Recalled: true, logic.Full: false, logic.RefusedConn: false, logic.Moot: false} {
+	for o, want := range map[logic.Outcome]bool{logic.Completed: true, logic.Errored: true, logic.TimedOut: true,
+		logic.ConnBroken: true, logic.Cancelled: true, logic.Rejected: false, logic.ConnRefused: false, logic.NotSent: false} {
 		if mayHaveRun(o) != want {
 			t.Errorf("outcome %d: may have run %v", o, !want)
 		}
@@ -690,7 +690,7 @@
 		h := &held{msg: &Message{ID: "a"}}
 		n.held["a"], n.next = h, nil
 		n.reply(replyEvent{call: &call{id: "a", ep: 1}, result: result{outcome: logic.Errored, report: x.report}})
-		if got := n.next[0].(logic.Reply).Load; !slices.Equal(got, x.want) {
+		if got := n.next[0].(logic.AttemptResult).Load; !slices.Equal(got, x.want) {
 			t.Errorf("%q: load %v, want %v", x.report, got, x.want)
 		}
 	}
--- a/internal/node/replay.go
+++ b/internal/node/replay.go
@@ -12,11 +12,11 @@
 func (n *Node) resume() {
 	known, listed := n.beginList()
 	if listed {
-		n.next = append(n.next, logic.Endpoints{Form: logic.ListCached, Entries: n.dir.Entries(), Old: n.again || n.cfg.Deploy.Settings.Pushed})
+		n.next = append(n.next, logic.ListUpdate{Form: logic.ListCached, Entries: n.dir.Entries(), Stale: n.again || n.cfg.Deploy.Settings.ListPushed})
 	}
 	n.disc.Begin(known, n.again)
 	for _, id := range n.journal.TakenOut() {
-		n.next = append(n.next, logic.TakeOut{Endpoint: n.dir.Number(id)})
+		n.next = append(n.next, logic.Ban{Endpoint: n.dir.Number(id)})
 	}
 	now := n.clock.Now()
 	for _, e := range n.journal.Entries() {
@@ -37,9 +37,9 @@
 		n.held[e.ID] = &held{msg: &e.Message, tries: e.Tries}
 		n.open++
 		c := n.callOf(&e.Message, now)
-		c.Past = logic.Past{Kept: true, Tries: e.Tries, MayRun: e.MayRun || e.Open}
-		if c.Past.MayRun {
-			c.Past.Age, c.Past.Zone = logic.Micros(max(now-e.FirstMay, 0)), e.FirstZone
+		c.Prior = logic.PriorAttempts{Recovered: true, Tries: e.Tries, MayHaveRun: e.MayRun || e.Open}
+		if c.Prior.MayHaveRun {
+			c.Prior.SinceFirstSend, c.Prior.Zone = logic.Micros(max(now-e.FirstMay, 0)), e.FirstZone
 		}
 		if e.Open || e.Begun { // whoever reads the journal next must not take its outcome for a later one's
 			n.records = append(n.records, record{Op: opOutcome, ID: e.ID, MayRun: e.Open})
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -28,18 +28,18 @@
 			i>>16, i>>8&255, i&255), Zone: "a", Kind: "std", Dest: int64(i / 2), Lifecycle: "up", Weight: 30})
 	}
 	entries := n.dir.Apply(&discovery.Update{Generation: 1, Whole: true, Rows: rows}, time.Now())
-	n.sender.Step(0, []logic.Event{logic.Endpoints{Form: logic.ListFull, Entries: entries}})
+	n.sender.Step(0, []logic.Event{logic.ListUpdate{Form: logic.ListFull, Entries: entries}})
 	now, id := logic.Micros(0), 0
 	for range 3 {
 		for d := range dests {
 			now += 50 * logic.Second / logic.Micros(dests)
 			id++
-			call := logic.Call{ID: fmt.Sprint(id), Left: 10 * logic.Second, Dest: int64(d), Tenant: -1}
+			call := logic.NewMessage{ID: fmt.Sprint(id), TimeLeft: 10 * logic.Second, Destination: int64(d), Tenant: -1}
 			for _, a := range n.sender.Step(now, []logic.Event{call}) {
 				if c, ok := a.(logic.CallOut); ok {
 					took := 20_000 + logic.Micros(id*7919%60_000)
-					n.sender.Step(now+1, []logic.Event{logic.Reply{ID: c.ID, Endpoint: c.Endpoint, Outcome: logic.Completed,
-						NoMore: true, Took: took}})
+					n.sender.Step(now+1, []logic.Event{logic.AttemptResult{ID: c.ID, Endpoint: c.Endpoint, Outcome: logic.Completed,
+						MessageEnded: true, Duration: took}})
 				}
 			}
 		}
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -137,7 +137,7 @@
 		return nil, fmt.Errorf("a state with %d descriptors", len(files))
 	}
 	if word == handRows {
-		n.sender, err = logic.ResumeRows(n.cfg.Deploy.Settings, n.cfg.Seed, l.Module, l.readRows(conn))
+		n.sender, err = logic.ResumeFromRows(n.cfg.Deploy.Settings, n.cfg.Seed, l.Module, l.readRows(conn))
 	} else {
 		n.sender, err = logic.Resume(n.cfg.Deploy.Settings, n.cfg.Seed, l.Module)
 	}
@@ -248,7 +248,7 @@
 		h.call.state.Store(callSent)
 		if conns[0] == nil {
 			h.stop = func(error) {}
-			n.take(replyEvent{h.call, result{outcome: logic.Severed}, time.Since(h.call.at)})
+			n.take(replyEvent{h.call, result{outcome: logic.ConnBroken}, time.Since(h.call.at)})
 		} else {
 			n.goOn(work, h, begunConn(conns[0], h.call.addr, x.Got))
 		}
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -143,7 +143,7 @@
 		_, err := out.Write(row)
 		return err == nil
 	}
-	for row := range n.sender.Rows() {
+	for row := range n.sender.TableRows() {
 		if !write(row) {
 			return
 		}
--- a/internal/node/watch_test.go
+++ b/internal/node/watch_test.go
@@ -70,7 +70,7 @@
 	n.watching = true
 	n.Move("127.0.0.1:1")
 	n.list(discovery.Event{Err: io.ErrUnexpectedEOF})
-	if len(n.next) != 2 || n.next[1] != logic.Event(logic.Moved{}) {
+	if len(n.next) != 2 || n.next[1] != logic.Event(logic.DiscoveryMoved{}) {
 		t.Errorf("the module hears %v", n.next)
 	}
 }
--- a/internal/scale/discovery_test.go
+++ b/internal/scale/discovery_test.go
@@ -250,7 +250,7 @@
 	f := s.f
 	set := f.deploy.Settings
 	if set.Senders >= discovery.SpreadFrom {
-		set.ListAge = logic.Micros(discovery.ListAge/time.Microsecond) + set.DrainGrace
+		set.MaxListAge = logic.Micros(discovery.ListAge/time.Microsecond) + set.DrainGrace
 	}
 	s.seed += 1 << 20 // new with each start
 	module, err := logic.New(set, s.seed)
@@ -316,7 +316,7 @@
 	}()
 	var next []logic.Event
 	if gen >= 0 {
-		next = append(next, logic.Endpoints{Form: logic.ListCached, Old: restart})
+		next = append(next, logic.ListUpdate{Form: logic.ListCached, Stale: restart})
 	}
 	watching, reached := false, int64(0)
 	for {
@@ -331,7 +331,7 @@
 			case logic.SetTimer:
 				time.AfterFunc(time.Duration(a.Wait)*time.Microsecond, func() {
 					select {
-					case events <- logic.Due{Token: a.Token}:
+					case events <- logic.TimerExpired{Token: a.Token}:
 					case <-ctx.Done():
 					}
 				})
@@ -348,29 +348,29 @@
 			return
 		case <-s.moves:
 			if !watching {
-				next = append(next, logic.Moved{})
+				next = append(next, logic.DiscoveryMoved{})
 			}
 		case ev := <-events:
 			switch ev := ev.(type) {
-			case logic.Due:
+			case logic.TimerExpired:
 				next = append(next, ev)
 			case discovery.Event:
 				switch {
 				case ev.Err != nil:
 					watching = false
-					next = append(next, logic.Endpoints{Form: logic.ListFailed})
+					next = append(next, logic.ListUpdate{Form: logic.ListRequestFailed})
 					if client.IsMoved() {
-						next = append(next, logic.Moved{})
+						next = append(next, logic.DiscoveryMoved{})
 					}
 				case ev.Watched:
-					next = append(next, logic.Endpoints{Form: logic.ListWatched})
+					next = append(next, logic.ListUpdate{Form: logic.ListWatchOpen})
 				default:
 					s.dir.Apply(&ev.Update, time.Now())
 					if ev.Done != nil {
 						ev.Done()
 					}
 					reached = ev.Update.Generation
-					next = append(next, logic.Endpoints{Form: logic.ListDelta})
+					next = append(next, logic.ListUpdate{Form: logic.ListDelta})
 				}
 			}
 		}
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -124,7 +124,7 @@
 	sender  *hollow
 	token   uint64
 	message *message
-	reply   logic.Reply
+	reply   logic.AttemptResult
 	call    func()
 }
 
@@ -177,10 +177,10 @@
 
 // List is a whole list of destinations 0 to dests-1 with so many endpoints each. Endpoint j of destination i has the
 // id i*each+j+1. The limit is told as the nominal rate.
-func List(dests, each, zones int, limit float64) logic.Endpoints {
-	ev := logic.Endpoints{Form: logic.ListFull, Entries: make([]logic.Entry, 0, dests*each)}
+func List(dests, each, zones int, limit float64) logic.ListUpdate {
+	ev := logic.ListUpdate{Form: logic.ListFull, Entries: make([]logic.Entry, 0, dests*each)}
 	for i := range dests * each {
-		ev.Entries = append(ev.Entries, logic.Entry{Endpoint: logic.EndpointID(i + 1), Dest: int64(i / each),
+		ev.Entries = append(ev.Entries, logic.Entry{Endpoint: logic.EndpointID(i + 1), Destination: int64(i / each),
 			Zone: i % max(zones, 1), Nominal: limit})
 	}
 	return ev
@@ -219,7 +219,7 @@
 		case answer:
 			f.answered(h, e)
 		case timer:
-			f.tell(h, logic.Due{Token: e.token})
+			f.tell(h, logic.TimerExpired{Token: e.token})
 		case stepping:
 			f.step(h)
 		case turn:
@@ -256,12 +256,12 @@
 	f.Messages++
 	f.Held++
 	class := h.rnd.IntN(len(f.cfg.Settings.Classes))
-	c := logic.Call{ID: strconv.Itoa(h.made), Left: f.cfg.Settings.Classes[class].Deadline, Dest: h.rnd.Int64N(int64(f.cfg.Dests)),
+	c := logic.NewMessage{ID: strconv.Itoa(h.made), TimeLeft: f.cfg.Settings.Classes[class].Deadline, Destination: h.rnd.Int64N(int64(f.cfg.Dests)),
 		Tenant: -1, Class: class}
 	if f.cfg.Keys > 0 {
 		c.Key = strconv.Itoa(h.rnd.IntN(f.cfg.Keys))
 	}
-	h.open[c.ID] = &message{dest: c.Dest}
+	h.open[c.ID] = &message{dest: c.Destination}
 	f.tell(h, c)
 }
 
@@ -270,7 +270,7 @@
 	m.out = nil
 	f.Flying--
 	if e.reply.Outcome == logic.Completed {
-		e.reply.NoMore = true
+		e.reply.MessageEnded = true
 		if !m.over {
 			f.Delivered++
 			f.Held--
@@ -306,8 +306,8 @@
 		case logic.Cancel:
 			if m := h.open[a.ID]; m != nil && m.out != nil && m.out.reply.Attempt == a.Attempt {
 				f.note(3, uint64(a.Attempt))
-				m.out.reply.Outcome, m.out.reply.Load, m.out.reply.Wait = logic.Recalled, nil, 0
-				m.out.reply.Took = f.now - (m.out.at - m.out.reply.Took)
+				m.out.reply.Outcome, m.out.reply.Load, m.out.reply.RetryAfter = logic.Cancelled, nil, 0
+				m.out.reply.Duration = f.now - (m.out.at - m.out.reply.Duration)
 				m.out.at = f.now
 				heap.Fix(&f.queue, m.out.place)
 			}
@@ -368,36 +368,36 @@
 	f.Flying++
 	i := (int(a.Endpoint) - 1) / f.cfg.Each
 	d := &f.dests[i]
-	r := logic.Reply{ID: a.ID, Endpoint: a.Endpoint, Attempt: m.tries}
+	r := logic.AttemptResult{ID: a.ID, Endpoint: a.Endpoint, Attempt: m.tries}
 	m.tries++
 	if d.back > 0 {
 		d.seen = append(d.seen, f.now)
 	}
 	switch d.mode {
 	case Refusing:
-		r.Outcome, r.Took = logic.RefusedConn, f.cfg.RoundTrip
+		r.Outcome, r.Duration = logic.ConnRefused, f.cfg.RoundTrip
 	case Hanging:
-		r.Outcome, r.Took = logic.Overdue, a.GiveUp
+		r.Outcome, r.Duration = logic.TimedOut, a.GiveUp
 	case Erring:
-		r.Outcome, r.Took = logic.Errored, f.cfg.RoundTrip
+		r.Outcome, r.Duration = logic.Errored, f.cfg.RoundTrip
 	default:
-		r.Outcome, r.Took = logic.Completed, logic.Micros(float64(f.cfg.Latency)*math.Exp(0.5*h.rnd.NormFloat64()))
+		r.Outcome, r.Duration = logic.Completed, logic.Micros(float64(f.cfg.Latency)*math.Exp(0.5*h.rnd.NormFloat64()))
 		f.limit(d, &r)
-		if r.Took >= a.GiveUp {
-			r.Outcome, r.Took, r.Load = logic.Overdue, a.GiveUp, nil
+		if r.Duration >= a.GiveUp {
+			r.Outcome, r.Duration, r.Load = logic.TimedOut, a.GiveUp, nil
 		}
 	}
 	if d.mode != Serving {
 		f.Dead++
 	}
 	f.note(1, uint64(a.Endpoint), uint64(a.GiveUp), uint64(r.Outcome))
-	e := f.plan(f.now+r.Took, answer, h)
+	e := f.plan(f.now+r.Duration, answer, h)
 	e.message, e.reply = m, r
 	m.out = e
 }
 
 // limit rejects a call beyond the destination's limit and tells what is left of it.
-func (f *Fleet) limit(d *standIn, r *logic.Reply) {
+func (f *Fleet) limit(d *standIn, r *logic.AttemptResult) {
 	if f.cfg.Limit <= 0 {
 		return
 	}
@@ -409,7 +409,7 @@
 	r.Load = []float64{max(0, 1-n/f.cfg.Limit), f.cfg.Limit}
 	if n > f.cfg.Limit {
 		f.Rejected++
-		r.Outcome, r.Took, r.Wait = logic.Full, f.cfg.RoundTrip, f.cfg.RetryAfter
+		r.Outcome, r.Duration, r.RetryAfter = logic.Rejected, f.cfg.RoundTrip, f.cfg.RetryAfter
 	}
 }
 
--- a/internal/scale/slope_test.go
+++ b/internal/scale/slope_test.go
@@ -22,7 +22,7 @@
 	sent []logic.CallOut
 }
 
-func newBench(t testing.TB, set logic.Settings, list logic.Endpoints) *bench {
+func newBench(t testing.TB, set logic.Settings, list logic.ListUpdate) *bench {
 	t.Helper()
 	s, err := logic.New(set, 7)
 	if err != nil {
@@ -37,7 +37,7 @@
 func (b *bench) step(events ...logic.Event) { b.after(5000, events...) }
 
 // idle is a step that nothing calls for, an instant later: however many there are, nothing gets old.
-func (b *bench) idle() { b.after(10, logic.Due{}) }
+func (b *bench) idle() { b.after(10, logic.TimerExpired{}) }
 
 func (b *bench) after(wait logic.Micros, events ...logic.Event) {
 	b.now += wait
@@ -49,11 +49,11 @@
 }
 
 // message is a new one, of the keyed class or, with keys, of the class that keeps their order.
-func (b *bench) message(dest int) logic.Call {
+func (b *bench) message(dest int) logic.NewMessage {
 	b.ids++
-	c := logic.Call{ID: strconv.Itoa(b.ids), Left: 12 * logic.Second, Dest: int64(dest), Tenant: -1, Class: 1}
+	c := logic.NewMessage{ID: strconv.Itoa(b.ids), TimeLeft: 12 * logic.Second, Destination: int64(dest), Tenant: -1, Class: 1}
 	if b.keys {
-		c.Class, c.Key, c.Left = 0, "key-"+c.ID, 10*logic.Second
+		c.Class, c.Key, c.TimeLeft = 0, "key-"+c.ID, 10*logic.Second
 	}
 	return c
 }
@@ -72,7 +72,7 @@
 // deliver ends the oldest n calls that are out.
 func (b *bench) deliver(n int) (evs []logic.Event) {
 	for _, c := range b.sent[:n] {
-		evs = append(evs, logic.Reply{ID: c.ID, Endpoint: c.Endpoint, Outcome: logic.Completed, NoMore: true, Took: 80_000})
+		evs = append(evs, logic.AttemptResult{ID: c.ID, Endpoint: c.Endpoint, Outcome: logic.Completed, MessageEnded: true, Duration: 80_000})
 	}
 	b.sent = b.sent[n:]
 	return evs
@@ -104,7 +104,7 @@
 // step looks at each of them: the longest way through the rules.
 func waitSettings() logic.Settings {
 	set := fullSettings()
-	set.ReportLeft, set.ReportLimit = -1, -1
+	set.LimitLeftIndex, set.LimitIndex = -1, -1
 	return set
 }
 
@@ -235,12 +235,12 @@
 // ---- The list -------------------------------------------------------------------------
 
 // flip is one change to the list: an entry leaves, or comes back.
-func flip(i int, list logic.Endpoints) logic.Endpoints {
+func flip(i int, list logic.ListUpdate) logic.ListUpdate {
 	row := list.Entries[(i/2*7919)%len(list.Entries)]
 	if i%2 == 0 {
-		row.State = logic.Gone
+		row.State = logic.Removed
 	}
-	return logic.Endpoints{Form: logic.ListDelta, Entries: []logic.Entry{row}}
+	return logic.ListUpdate{Form: logic.ListDelta, Entries: []logic.Entry{row}}
 }
 
 var listSizes = []int{1000, 5000, 20_000, 100_000, TargetEntries}
@@ -265,7 +265,7 @@
 		allocated.Points = append(allocated.Points, Point{float64(n), testing.AllocsPerRun(1000, step)})
 		whole.Points = append(whole.Points, Point{float64(n), cost(1, func() { b.step(list) }) / 1000})
 		saved := list
-		saved.Form, saved.Old = logic.ListCached, true
+		saved.Form, saved.Stale = logic.ListCached, true
 		start.Points = append(start.Points, Point{float64(n), cost(1, func() { newBench(t, fullSettings(), saved) }) / 1000})
 	}
 	for _, s := range []Series{one, allocated, whole, start} {
--- a/internal/scale/target.go
+++ b/internal/scale/target.go
@@ -29,7 +29,7 @@
 func Settings(senders int) logic.Settings {
 	const s = logic.Second
 	return logic.Settings{Senders: senders, Zones: 6, Slots: 16_384, MaxOpen: 65_536, MaxTries: 6, Tick: 5000,
-		MayCancel: true, RetryAfter: true, Weights: logic.WeightsNominal, ReportLeft: 0, ReportLimit: 1,
+		MayCancel: true, AdviseRetry: true, Weights: logic.WeightsNominal, LimitLeftIndex: 0, LimitIndex: 1,
 		Classes: []logic.Class{
 			{Name: "safe", Aim: s, Deadline: 10 * s, Worth: 1, LateWorth: 0.5, KeepOrder: true},
 			{Name: "keyed", Aim: 2 * s, Deadline: 12 * s, Worth: 2, LateWorth: 0.4, Effect: logic.Keyed, Window: 8 * s},
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -116,12 +116,12 @@
 	out := logic.Settings{Senders: in.Balancers, Zone: in.Zone, Zones: len(in.Zones), Slots: in.Facts.Slots,
 		ConnIdle: micros(in.Limits.ConnIdle), ConnCalls: in.Limits.ConnCalls, ConnPrice: in.Charges.Handshake,
 		MaxOpen: in.Limits.MaxOpen, MaxTries: in.Limits.MaxTries, Tick: micros(in.Tick),
-		OnRequest: in.Mode == "on_request", Probing: in.Limits.Probing, MayCancel: in.Limits.MayCancel,
-		RetryAfter: in.Limits.RetryAfter, Halves: in.Facts.Late == "halves",
+		ListOnRequest: in.Mode == "on_request", MayProbe: in.Limits.Probing, MayCancel: in.Limits.MayCancel,
+		AdviseRetry: in.Limits.RetryAfter, WorthHalves: in.Facts.Late == "halves",
 		MaxRetryAfter: micros(in.Limits.MaxRetryAfter), OverShareWorth: in.Over,
 		DrainGrace: micros(in.Rules.DrainGrace), FallMultiple: in.Rules.FallMultiple,
 		FallWindow: micros(in.Rules.Fall), ColdFrom: in.Rules.ColdFrom, WarmAfter: micros(in.Rules.WarmAfter),
-		KeyQuiet: micros(in.Rules.KeyQuiet), ReportLeft: -1, ReportLimit: -1}
+		KeyQuiet: micros(in.Rules.KeyQuiet), LimitLeftIndex: -1, LimitIndex: -1}
 	mode, ok := weightModes[in.Weights]
 	if !ok {
 		bad = append(bad, fmt.Errorf("weights: unknown value %q, taken for off", in.Weights))
@@ -146,7 +146,7 @@
 			k.Batch = in.Facts.Batch[i]
 		}
 		if i < len(in.Facts.Apart) {
-			k.Apart = in.Facts.Apart[i]
+			k.SeparateRoutes = in.Facts.Apart[i]
 		}
 		out.Kinds = append(out.Kinds, k)
 	}
@@ -154,9 +154,9 @@
 		for i, name := range in.Load.Names {
 			switch name {
 			case "x0":
-				out.ReportLeft = i
+				out.LimitLeftIndex = i
 			case "x1":
-				out.ReportLimit = i
+				out.LimitIndex = i
 			}
 		}
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -147,7 +147,7 @@
 			return &Error{d.line, "", "want an entry, got " + strconv.Quote(e.name)}
 		}
 		row := logic.Entry{Endpoint: e.endpoint(), Zone: int(e.whole("zone")), Kind: int(e.whole("kind")),
-			Dest: e.whole("cell"), State: e.readiness(), Nominal: e.number("nominal")}
+			Destination: e.whole("cell"), State: e.readiness(), Nominal: e.number("nominal")}
 		e.time("born_s")
 		if err := e.end(); err != nil {
 			return err
@@ -181,7 +181,7 @@
 	case "call":
 		it.Event = call(f)
 	case "started":
-		it.Event = logic.Started{ID: f.word("req"), Attempt: int(f.whole("copy"))}
+		it.Event = logic.StreamStarted{ID: f.word("req"), Attempt: int(f.whole("copy"))}
 		f.endpoint()
 		f.time("time_taken_s")
 	case "reply":
@@ -189,7 +189,7 @@
 	case "client_gone":
 		it.Event = logic.ClientGone{ID: f.word("req")}
 	case "due":
-		it.Event = logic.Due{Token: f.token("ctx")}
+		it.Event = logic.TimerExpired{Token: f.token("ctx")}
 	case "health_result":
 		o := f.outcome()
 		f.time("time_taken_s")
@@ -208,12 +208,12 @@
 func (d *Decoder) endpoints(f *fields) logic.Event {
 	form := f.whole("form")
 	f.whole("stamp")
-	if form < int64(logic.ListDelta) || form > int64(logic.ListFailed) {
+	if form < int64(logic.ListDelta) || form > int64(logic.ListRequestFailed) {
 		f.fail("form", "out of range")
 		return nil
 	}
-	ev := logic.Endpoints{Form: logic.ListForm(form)}
-	if ev.Form == logic.ListFailed {
+	ev := logic.ListUpdate{Form: logic.ListForm(form)}
+	if ev.Form == logic.ListRequestFailed {
 		f.word("set_id")
 		return ev
 	}
@@ -227,14 +227,14 @@
 }
 
 func call(f *fields) logic.Event {
-	c := logic.Call{ID: f.word("req")}
+	c := logic.NewMessage{ID: f.word("req")}
 	f.flag("repeat")
-	c.Left = f.time("grace_s")
+	c.TimeLeft = f.time("grace_s")
 	f.flag("came_back")
 	f.number("expected_s")
 	c.Key = f.optional("key")
 	f.flag("is_write")
-	c.Dest = f.whole("to_exchange")
+	c.Destination = f.whole("to_exchange")
 	c.Tenant = -1
 	if w := f.optional("realm"); w != "" {
 		c.Tenant = int(f.parseWhole("realm", w))
@@ -244,14 +244,14 @@
 }
 
 func reply(f *fields) logic.Event {
-	r := logic.Reply{ID: f.word("req"), NoMore: f.flag("no_more"), Endpoint: f.endpoint(),
-		Attempt: int(f.whole("copy")), Outcome: f.outcome(), Took: f.time("time_taken_s")}
+	r := logic.AttemptResult{ID: f.word("req"), MessageEnded: f.flag("no_more"), Endpoint: f.endpoint(),
+		Attempt: int(f.whole("copy")), Outcome: f.outcome(), Duration: f.time("time_taken_s")}
 	detail := int64(0)
 	if w := f.optional("detail"); w != "" {
 		detail = f.parseWhole("detail", w)
 	}
-	if r.Outcome == logic.Full && detail > 0 {
-		r.Wait = logic.Micros(detail) * logic.Second / 1000
+	if r.Outcome == logic.Rejected && detail > 0 {
+		r.RetryAfter = logic.Micros(detail) * logic.Second / 1000
 	}
 	r.Load = f.load()
 	return r
@@ -410,21 +410,21 @@
 	return 0
 }
 
-var outcomes = [...]string{logic.Completed: "completed", logic.Errored: "errored", logic.Full: "saturated",
-	logic.Overdue: "overdue", logic.RefusedConn: "refused_conn", logic.Severed: "severed",
-	logic.Recalled: "recalled", logic.Moot: "superseded"}
+var outcomes = [...]string{logic.Completed: "completed", logic.Errored: "errored", logic.Rejected: "saturated",
+	logic.TimedOut: "overdue", logic.ConnRefused: "refused_conn", logic.ConnBroken: "severed",
+	logic.Cancelled: "recalled", logic.NotSent: "superseded"}
 
-func (f *fields) readiness() logic.Readiness {
+func (f *fields) readiness() logic.EndpointState {
 	switch n := f.whole("readiness"); n {
 	case 0:
 		return logic.Ready
 	case 3:
 		return logic.Draining
 	case 1:
-		return logic.Gone
+		return logic.Removed
 	default:
 		f.fail("readiness", fmt.Sprintf("unknown state %d", n))
-		return logic.Gone
+		return logic.Removed
 	}
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -55,19 +55,19 @@
 	}
 	ev := func(who int, e logic.Event) Item { return Item{Who: who, Event: e} }
 	want := []Item{
-		ev(3, logic.Endpoints{Form: logic.ListCached, Entries: []logic.Entry{{Endpoint: 51530247, Dest: 57, Nominal: 1},
-			{Endpoint: 747639282, Zone: 1, Dest: 57, State: logic.Draining, Nominal: 1.5}}}),
-		ev(3, logic.Endpoints{Entries: []logic.Entry{{Endpoint: 1, Dest: 58, State: logic.Gone}}}),
-		ev(3, logic.Endpoints{Form: logic.ListFailed}),
-		ev(3, logic.Call{ID: "rq_brwyere", Left: 240_000, Key: "91f03b7c55d20a64", Dest: 57}),
-		ev(3, logic.Call{ID: "rq_b", Left: 2_000_000, Dest: 57, Tenant: -1, Class: 1}),
-		ev(3, logic.Reply{ID: "rq_brwyere", NoMore: true, Endpoint: 51530247, Took: 18_500}),
-		ev(3, logic.Reply{ID: "rq_b", Endpoint: 51530247, Attempt: 2, Outcome: logic.Full, Took: 20_000, Wait: 1_500_000,
+		ev(3, logic.ListUpdate{Form: logic.ListCached, Entries: []logic.Entry{{Endpoint: 51530247, Destination: 57, Nominal: 1},
+			{Endpoint: 747639282, Zone: 1, Destination: 57, State: logic.Draining, Nominal: 1.5}}}),
+		ev(3, logic.ListUpdate{Entries: []logic.Entry{{Endpoint: 1, Destination: 58, State: logic.Removed}}}),
+		ev(3, logic.ListUpdate{Form: logic.ListRequestFailed}),
+		ev(3, logic.NewMessage{ID: "rq_brwyere", TimeLeft: 240_000, Key: "91f03b7c55d20a64", Destination: 57}),
+		ev(3, logic.NewMessage{ID: "rq_b", TimeLeft: 2_000_000, Destination: 57, Tenant: -1, Class: 1}),
+		ev(3, logic.AttemptResult{ID: "rq_brwyere", MessageEnded: true, Endpoint: 51530247, Duration: 18_500}),
+		ev(3, logic.AttemptResult{ID: "rq_b", Endpoint: 51530247, Attempt: 2, Outcome: logic.Rejected, Duration: 20_000, RetryAfter: 1_500_000,
 			Load: []float64{0.25, 12}}),
-		ev(3, logic.Started{ID: "rq_b", Attempt: 1}),
+		ev(3, logic.StreamStarted{ID: "rq_b", Attempt: 1}),
 		ev(5, logic.ClientGone{ID: "rq_ahg8m23"}),
-		ev(3, logic.HealthResult{Endpoint: 747639282, Outcome: logic.RefusedConn}),
-		ev(3, logic.Due{Token: 77}),
+		ev(3, logic.HealthResult{Endpoint: 747639282, Outcome: logic.ConnRefused}),
+		ev(3, logic.TimerExpired{Token: 77}),
 		{Who: 5, Halt: true},
 	}
 	if f.Clock != 8_412_250 || f.Seq != "12" || !reflect.DeepEqual(f.Items, want) {
@@ -138,13 +138,13 @@
 "rules":{"cold_from":0.19,"drain_grace_s":2,"fall_multiple":2,"fall_s":3,"warm_after_s":14,"key_quiet_s":1.5},
 "specifics":{"batch_by_kind":[1,4],"call_slots":6,"late":"halves","separate_routes":[true,false]}}`))
 	want := logic.Settings{Senders: 3, Zone: 1, Zones: 2, Tick: 5000, OverShareWorth: 0.2, Slots: 6, MaxOpen: 69, MaxTries: 6,
-		OnRequest: true, Probing: true, MayCancel: true, RetryAfter: true, Halves: true, Weights: logic.WeightsRough,
+		ListOnRequest: true, MayProbe: true, MayCancel: true, AdviseRetry: true, WorthHalves: true, Weights: logic.WeightsRough,
 		MaxRetryAfter: 2_000_000, DrainGrace: 2_000_000, FallMultiple: 2, FallWindow: 3_000_000, ColdFrom: 0.19,
-		WarmAfter: 14_000_000, KeyQuiet: 1_500_000, ConnIdle: 10_000_000, ConnCalls: 8, ConnPrice: 0.02, ReportLeft: 2, ReportLimit: 0,
+		WarmAfter: 14_000_000, KeyQuiet: 1_500_000, ConnIdle: 10_000_000, ConnCalls: 8, ConnPrice: 0.02, LimitLeftIndex: 2, LimitIndex: 0,
 		Classes: []logic.Class{{Name: "x", Aim: 2_500_000, Deadline: 24_000_000, Worth: 2, LateWorth: 0.4,
 			Effect: logic.Keyed, ByZone: true, Window: 25_000_000, KeepOrder: true}},
 		Tenants: []logic.Tenant{{Name: "t", QuotaRPS: 10}},
-		Kinds:   []logic.Kind{{Name: "k", Apart: true, Batch: 1}, {Name: "l", Batch: 4}}}
+		Kinds:   []logic.Kind{{Name: "k", SeparateRoutes: true, Batch: 1}, {Name: "l", Batch: 4}}}
 	if err != nil || !reflect.DeepEqual(set, want) {
 		t.Errorf("got %+v, %v\nwant %+v", set, err, want)
 	}
--- a/logic/ending.go
+++ b/logic/ending.go
@@ -7,105 +7,107 @@
 )
 
 const (
-	lastPart = 0.15     // ours: part of a message's time in which one found untried goes past the pace
-	awayTime = 1500_000 // ours: from a stop until the next start can send
+	lastChanceShare  = 0.15     // ours: part of a message's time in which one found untried goes past the pace
+	restartGapMicros = 1500_000 // ours: from a stop until the next start can send
 )
 
-// end is the one place where a message ends by our word: refused if no attempt may have run, else failed.
-func (s *Sender) end(m *msg) {
-	if m.over {
+// endMessage is the one place where a message ends by our word: refused if no attempt may have run, else
+// failed.
+func (s *Sender) endMessage(m *message) {
+	if m.ended {
 		return
 	}
-	if m.mayRun || m.out != nil {
-		s.do(Fail{ID: m.id})
-		if m.out != nil {
-			s.cancel(m.out)
+	if m.mayHaveRun || m.attempt != nil {
+		s.emit(Fail{ID: m.id})
+		if m.attempt != nil {
+			s.cancelAttempt(m.attempt)
 		}
 	} else {
-		s.do(Refuse{ID: m.id, RetryIn: s.advice()})
+		s.emit(Refuse{ID: m.id, RetryIn: s.retryAdvice()})
 	}
-	s.close(m)
+	s.forgetMessage(m)
 }
 
-// advice tells a client when to come again: as late as it heeds, since what turned it away lasts.
-func (s *Sender) advice() Micros {
-	if !s.set.RetryAfter {
+// retryAdvice tells a client when to come again: as late as it heeds, since what turned it away lasts.
+func (s *Sender) retryAdvice() Micros {
+	if !s.settings.AdviseRetry {
 		return 0
 	}
-	return s.set.MaxRetryAfter
+	return s.settings.MaxRetryAfter
 }
 
-// resume takes up a message where a restart cut it off: its attempts count, and one without an outcome may
-// have run. What may not be sent again ends at once.
-func (s *Sender) resume(m *msg, p Past) {
-	if p.Kept && !p.MayRun {
+// resumeMessage takes up a message where a restart cut it off: its attempts count, and one without an outcome
+// may have run. What may not be sent again ends at once.
+func (s *Sender) resumeMessage(m *message, p PriorAttempts) {
+	if p.Recovered && !p.MayHaveRun {
 		left := m.deadline - s.now
-		last := min(left, Micros(lastPart*float64(m.class.Deadline)))
+		last := min(left, Micros(lastChanceShare*float64(m.class.Deadline)))
 		m.untried = true
-		m.chance = m.deadline - last/3 - Micros(s.rng.Float64()*float64(last)*2/3)
+		m.lastChanceAt = m.deadline - last/3 - Micros(s.rng.Float64()*float64(last)*2/3)
 	}
 	if p.Tries == 0 {
 		return
 	}
 	m.tries = p.Tries
-	if m.mayRun = p.MayRun; m.mayRun {
-		m.firstMay, m.mayZone = s.now-p.Age, int32(p.Zone)
+	if m.mayHaveRun = p.MayHaveRun; m.mayHaveRun {
+		m.firstMayHaveRunAt, m.mayHaveRunZone = s.now-p.SinceFirstSend, int32(p.Zone)
 	}
-	s.endIfStuck(m)
+	s.endIfUnretryable(m)
 }
 
-// closing prepares for a stop: what was not tried and would be over before the next start goes now or never.
-func (s *Sender) closing(left Micros) {
-	s.closeAt = s.now + left
-	for _, m := range s.held {
-		if m.tries == 0 && m.deadline <= s.closeAt+awayTime {
-			m.untried, m.chance = true, s.now
+// prepareStop prepares for a stop: what was not tried and would be over before the next start goes now or
+// never.
+func (s *Sender) prepareStop(left Micros) {
+	s.stopAt = s.now + left
+	for _, m := range s.openMessages {
+		if m.tries == 0 && m.deadline <= s.stopAt+restartGapMicros {
+			m.untried, m.lastChanceAt = true, s.now
 		}
 	}
 }
 
-// shut turns new messages away that cannot go at once and would be over before the next start.
-func (s *Sender) shut() {
-	if s.closeAt == 0 {
+// refuseBeforeStop turns new messages away that cannot go at once and would be over before the next start.
+func (s *Sender) refuseBeforeStop() {
+	if s.stopAt == 0 {
 		return
 	}
-	for _, m := range slices.Clone(s.held) {
-		if m.came == s.step && m.tries == 0 && m.deadline <= s.closeAt+awayTime {
-			s.end(m)
+	for _, m := range slices.Clone(s.openMessages) {
+		if m.arrivalStep == s.step && m.tries == 0 && m.deadline <= s.stopAt+restartGapMicros {
+			s.endMessage(m)
 		}
 	}
 }
 
-// endIfStuck ends a message that no further attempt can help.
-func (s *Sender) endIfStuck(m *msg) {
+// endIfUnretryable ends a message that no further attempt can help.
+func (s *Sender) endIfUnretryable(m *message) {
 	c := m.class
 	switch {
-	case m.out != nil || m.over:
-	case m.mayRun && c.Effect == Unsafe,
-		s.set.MaxTries > 0 && m.tries >= s.set.MaxTries,
-		m.mayRun && c.Effect == Keyed && s.now > m.firstMay+c.Window-s.set.Tick:
-		s.end(m)
+	case m.attempt != nil || m.ended:
+	case m.mayHaveRun && c.Effect == Unsafe,
+		s.settings.MaxTries > 0 && m.tries >= s.settings.MaxTries,
+		m.mayHaveRun && c.Effect == Keyed && s.now > m.firstMayHaveRunAt+c.Window-s.settings.Tick:
+		s.endMessage(m)
 	}
 }
 
-// endHopeless ends messages whose time is nearly up: unsent ones at a usual call's time before the deadline.
-func (s *Sender) endHopeless() {
-	last := 2 * max(s.set.Tick, 1000)
-	for _, m := range slices.Clone(s.held) {
-		if m.flows {
+// endExpiring ends messages whose time is nearly up: unsent ones at a usual call's time before the deadline.
+func (s *Sender) endExpiring() {
+	last := 2 * max(s.settings.Tick, 1000)
+	for _, m := range slices.Clone(s.openMessages) {
+		if m.streaming {
 			continue
 		}
 		by := m.deadline - last
-		if m.out == nil {
-			by = min(by, m.deadline-s.usual(m))
-			if m.mayRun && m.class.Effect == Keyed { // the window is for the send, whenever its answer comes
-				by = min(by, m.firstMay+m.class.Window-last)
+		if m.attempt == nil {
+			by = min(by, m.deadline-s.usualLatency(m))
+			if m.mayHaveRun && m.class.Effect == Keyed { // the window is for the send, whenever its answer comes
+				by = min(by, m.firstMayHaveRunAt+m.class.Window-last)
 			}
 		}
 		if s.now >= by {
-			s.end(m)
+			s.endMessage(m)
 			continue
 		}
-		s.at(by)
+		s.wakeBy(by)
 	}
 }
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -14,7 +14,7 @@
 		Classes:      []logic.Class{{Name: "note", Aim: 2 * second, Deadline: 20 * second, Worth: 1}},
 		Kinds:        []logic.Kind{{Name: "partner", Batch: 1}},
 		FallMultiple: 2, FallWindow: 2 * second, ColdFrom: 0.2, WarmAfter: 14 * second,
-		ReportLeft: -1, ReportLimit: -1,
+		LimitLeftIndex: -1, LimitIndex: -1,
 	}, 1)
 	if err != nil {
 		panic(err)
@@ -26,12 +26,12 @@
 			}
 		}
 	}
-	show(0, logic.Endpoints{Form: logic.ListFull, Entries: []logic.Entry{{Endpoint: 7, Dest: 3}}})
-	show(1*second, logic.Call{ID: "n1", Left: 20 * second, Dest: 3, Tenant: -1})
-	show(1100000, logic.Reply{ID: "n1", Endpoint: 7, Attempt: 0, Outcome: logic.Full, Wait: second / 2})
-	show(1500000, logic.Due{}) // the wait is not over: nothing is sent
-	show(2200000, logic.Due{})
-	show(2400000, logic.Reply{ID: "n1", Endpoint: 7, Attempt: 1, Outcome: logic.Completed, NoMore: true})
+	show(0, logic.ListUpdate{Form: logic.ListFull, Entries: []logic.Entry{{Endpoint: 7, Destination: 3}}})
+	show(1*second, logic.NewMessage{ID: "n1", TimeLeft: 20 * second, Destination: 3, Tenant: -1})
+	show(1100000, logic.AttemptResult{ID: "n1", Endpoint: 7, Attempt: 0, Outcome: logic.Rejected, RetryAfter: second / 2})
+	show(1500000, logic.TimerExpired{}) // the wait is not over: nothing is sent
+	show(2200000, logic.TimerExpired{})
+	show(2400000, logic.AttemptResult{ID: "n1", Endpoint: 7, Attempt: 1, Outcome: logic.Completed, MessageEnded: true})
 	fmt.Println("delivered")
 	// Output:
 	// 1.0 s: logic.CallOut
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -19,32 +19,32 @@
 type fault int
 
 const (
-	hangs fault = iota
-	refuses
-	resets
-	shuts // turns all away unseen
-	fails // four calls in five
-	well  // not at all
+	faultHang fault = iota
+	faultRefuse
+	faultReset
+	faultReject // turns all away unseen
+	faultError  // four calls in five
+	faultNone   // not at all
 )
 
 // fleetCase is one deployment and its day. What is drawn from the seed is not in it.
 type fleetCase struct {
-	senders, endpoints int
-	told               int // how the limit is told: 0 not, 1 in the list, 2 in the list and with each answer
-	fault              fault
-	uneven, restarts   bool
-	rules              int // index of fleetRules
-	rate               float64
-	load               float64 // traffic over the limit; 0: drawn
-	stray              float64 // share of calls that break by chance
-	partly             bool    // only the first endpoint is down, and the others take all that the limit allows
-	seed               uint64
+	senders, endpoints   int
+	limitSource          int // how the limit is told: 0 not, 1 in the list, 2 in the list and with each answer
+	fault                fault
+	unevenLoad, restarts bool
+	ruleIndex            int // index of fleetRules
+	limitRPS             float64
+	loadShare            float64 // traffic over the limit; 0: drawn
+	chanceFailureRate    float64 // share of calls that break by chance
+	firstEndpointOnly    bool    // only the first endpoint is down, and the others take all that the limit allows
+	seed                 uint64
 }
 
 func (c fleetCase) String() string {
 	return fmt.Sprintf("%d senders, %d endpoints, %s, %s, limit %.0f, rules %d, uneven %v, restarts %v, seed %d", c.senders,
-		c.endpoints, []string{"no limit told", "limit in the list", "limit in answers"}[c.told],
-		[]string{"hangs", "refuses", "resets", "shuts", "fails", "well"}[c.fault], c.rate, c.rules, c.uneven, c.restarts, c.seed)
+		c.endpoints, []string{"no limit told", "limit in the list", "limit in answers"}[c.limitSource],
+		[]string{"hangs", "refuses", "resets", "shuts", "fails", "well"}[c.fault], c.limitRPS, c.ruleIndex, c.unevenLoad, c.restarts, c.seed)
 }
 
 // fleetRules are figures of the rules in deployments unlike each other.
@@ -58,66 +58,66 @@
 }
 
 type fleet struct {
-	c        fleetCase
-	set      Settings
-	rnd      *rand.Rand
-	now      Micros
-	queue    fleetQueue
-	seq      int
-	nodes    []*fleetNode
-	down, up Micros
-	taken    []Micros // calls that the destination took
-	pushes   []push   // calls that reached it since its return
-	served   []Micros
-	came     int
-	soon     int // served within the aim
-	calls    int
+	deployment         fleetCase
+	settings           Settings
+	rnd                *rand.Rand
+	now                Micros
+	queue              fleetQueue
+	seq                int
+	senders            []*fleetSender
+	downAt, upAt       Micros
+	acceptedAt         []Micros       // calls that the destination took
+	recoveryCalls      []recoveryCall // calls that reached it since its return
+	deliveredAt        []Micros
+	arrivals           int
+	deliveredWithinAim int // served within the aim
+	calls              int
 }
 
-// push is a call that reached the cold destination.
-type push struct {
-	at   Micros
-	told bool   // its sender had been told of the outage
-	path string // what let it through
+// recoveryCall is a call that reached the cold destination.
+type recoveryCall struct {
+	at         Micros
+	senderKnew bool   // its sender had been told of the outage
+	allowedBy  string // what let it through
 }
 
-type fleetNode struct {
-	s      *Sender
-	index  int
-	weight float64
-	life   int
-	dead   bool
-	told   bool
-	msgs   map[string]*fleetMsg
+type fleetSender struct {
+	sender      *Sender
+	index       int
+	weight      float64
+	generation  int
+	stopped     bool
+	knowsOutage bool
+	messages    map[string]*fleetMessage
 }
 
-type fleetMsg struct {
-	id       string
-	class    int
-	deadline Micros
-	tries    int
-	mayRun   bool
-	firstMay Micros
-	back     int // times that its client came again
-	out      *fleetTry
+type fleetMessage struct {
+	id                string
+	class             int
+	deadline          Micros
+	tries             int
+	mayHaveRun        bool
+	firstMayHaveRunAt Micros
+	clientRetries     int // times that its client came again
+	attempt           *fleetAttempt
 }
 
-type fleetTry struct{ over bool }
+type fleetAttempt struct{ ended bool }
 
-type fleetItem struct {
+type fleetEvent struct {
 	at  Micros
 	seq int
-	do  func()
+	run func()
 }
 
-type fleetQueue []fleetItem
+type fleetQueue []fleetEvent
 
 func (q fleetQueue) Len() int { return len(q) }
 func (q fleetQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 func (q fleetQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *fleetQueue) Push(x any)   { *q = append(*q, x.(fleetItem)) }
+func (q *fleetQueue) Push(x any)   { *q = append(*q, x.(fleetEvent)) }
 func (q *fleetQueue) Pop() any {
 	old := *q
 	x := old[len(old)-1]
@@ -125,61 +125,61 @@
 	return x
 }
 
-func (f *fleet) at(t Micros, do func()) {
+func (f *fleet) schedule(t Micros, do func()) {
 	f.seq++
-	heap.Push(&f.queue, fleetItem{max(t, f.now), f.seq, do})
+	heap.Push(&f.queue, fleetEvent{max(t, f.now), f.seq, do})
 }
 
-// span is a random span.
-func (f *fleet) span(least, most Micros) Micros {
+// randomSpan is a random span.
+func (f *fleet) randomSpan(least, most Micros) Micros {
 	return least + Micros(f.rnd.Int64N(int64(most-least+1)))
 }
 
 func newFleet(t *testing.T, c fleetCase) *fleet {
 	t.Helper()
-	r := fleetRules[c.rules]
-	set := Settings{Senders: c.senders, Zones: 1, Slots: 16, MaxOpen: 200, MaxTries: 6, Tick: 5000, MayCancel: true, RetryAfter: true,
-		Halves: true, MaxRetryAfter: 2 * Second, DrainGrace: Second, ConnIdle: 5 * Second, ConnCalls: 4,
+	r := fleetRules[c.ruleIndex]
+	set := Settings{Senders: c.senders, Zones: 1, Slots: 16, MaxOpen: 200, MaxTries: 6, Tick: 5000, MayCancel: true, AdviseRetry: true,
+		WorthHalves: true, MaxRetryAfter: 2 * Second, DrainGrace: Second, ConnIdle: 5 * Second, ConnCalls: 4,
 		Classes: []Class{
 			{Name: "a", Aim: 2 * Second, Deadline: 25 * Second, Worth: 1, LateWorth: 0.3},
 			{Name: "b", Aim: 3 * Second, Deadline: 18 * Second, Worth: 1, LateWorth: 0.4, Effect: Unsafe},
 			{Name: "c", Aim: Second, Deadline: 9 * Second, Worth: 1, LateWorth: 0.4, Effect: Keyed, Window: 6 * Second}},
 		Kinds: []Kind{{Name: "k", Batch: 1}}, FallMultiple: r.multiple, FallWindow: r.window, ColdFrom: r.from,
-		WarmAfter: r.warm, ReportLeft: -1, ReportLimit: -1}
-	if c.told > 0 {
+		WarmAfter: r.warm, LimitLeftIndex: -1, LimitIndex: -1}
+	if c.limitSource > 0 {
 		set.Weights = WeightsNominal
 	}
-	if c.told > 1 {
-		set.ReportLeft, set.ReportLimit = 0, 1
+	if c.limitSource > 1 {
+		set.LimitLeftIndex, set.LimitIndex = 0, 1
 	}
-	f := &fleet{c: c, set: set, rnd: rand.New(rand.NewPCG(c.seed, uint64(c.senders)))}
-	f.down = 10*Second + f.span(0, 2*Second)
-	f.up = f.down + f.span(7*Second/2, 15*Second)
+	f := &fleet{deployment: c, settings: set, rnd: rand.New(rand.NewPCG(c.seed, uint64(c.senders)))}
+	f.downAt = 10*Second + f.randomSpan(0, 2*Second)
+	f.upAt = f.downAt + f.randomSpan(7*Second/2, 15*Second)
 	for i := range c.senders {
-		n := &fleetNode{index: i, weight: 1}
-		if c.uneven && f.rnd.IntN(6) == 0 {
+		n := &fleetSender{index: i, weight: 1}
+		if c.unevenLoad && f.rnd.IntN(6) == 0 {
 			n.weight = 3 + 3*f.rnd.Float64()
 		}
-		f.nodes = append(f.nodes, n)
+		f.senders = append(f.senders, n)
 		f.start(t, n)
 	}
 	return f
 }
 
 // start begins a life of a sender.
-func (f *fleet) start(t *testing.T, n *fleetNode) {
-	s, err := New(f.set, f.rnd.Uint64())
+func (f *fleet) start(t *testing.T, n *fleetSender) {
+	s, err := New(f.settings, f.rnd.Uint64())
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := n.msgs
-	n.s, n.dead, n.told, n.msgs = s, false, false, map[string]*fleetMsg{}
-	n.life++
-	ev := Endpoints{Form: ListFull}
-	for i := range f.c.endpoints {
-		row := Entry{Endpoint: EndpointID(i + 1), Dest: 9}
-		if f.c.told > 0 {
-			row.Nominal = f.c.rate
+	old := n.messages
+	n.sender, n.stopped, n.knowsOutage, n.messages = s, false, false, map[string]*fleetMessage{}
+	n.generation++
+	ev := ListUpdate{Form: ListFull}
+	for i := range f.deployment.endpoints {
+		row := Entry{Endpoint: EndpointID(i + 1), Destination: 9}
+		if f.deployment.limitSource > 0 {
+			row.Nominal = f.deployment.limitRPS
 		}
 		ev.Entries = append(ev.Entries, row)
 	}
@@ -191,301 +191,301 @@
 	slices.Sort(ids)
 	for _, id := range ids { // what the journal kept
 		m := old[id]
-		if m.out != nil {
-			m.mayRun = true
+		if m.attempt != nil {
+			m.mayHaveRun = true
 		}
-		if m.out = nil; m.deadline <= f.now {
+		if m.attempt = nil; m.deadline <= f.now {
 			continue
 		}
-		n.msgs[id] = m
-		evs = append(evs, Call{ID: id, Left: m.deadline - f.now, Dest: 9, Tenant: -1, Class: m.class,
-			Past: Past{Kept: true, Tries: m.tries, MayRun: m.mayRun, Age: f.now - m.firstMay}})
+		n.messages[id] = m
+		evs = append(evs, NewMessage{ID: id, TimeLeft: m.deadline - f.now, Destination: 9, Tenant: -1, Class: m.class,
+			Prior: PriorAttempts{Recovered: true, Tries: m.tries, MayHaveRun: m.mayHaveRun, SinceFirstSend: f.now - m.firstMayHaveRunAt}})
 	}
 	f.step(n, evs...)
 }
 
-// kill ends a life; the next begins after a while with what was kept.
-func (f *fleet) kill(t *testing.T, n *fleetNode) {
-	n.dead = true
-	n.life++
-	f.at(f.now+f.span(Second/2, 2*Second), func() { f.start(t, n) })
+// crash ends a life; the next begins after a while with what was kept.
+func (f *fleet) crash(t *testing.T, n *fleetSender) {
+	n.stopped = true
+	n.generation++
+	f.schedule(f.now+f.randomSpan(Second/2, 2*Second), func() { f.start(t, n) })
 }
 
 // arrive lets the next message come, and so on until the end.
 func (f *fleet) arrive(rate float64, end Micros) {
 	total := 0.0
-	for _, n := range f.nodes {
+	for _, n := range f.senders {
 		total += n.weight
 	}
 	var next func()
 	next = func() {
 		x := f.rnd.Float64() * total
-		pick := f.nodes[len(f.nodes)-1]
-		for _, n := range f.nodes {
+		pick := f.senders[len(f.senders)-1]
+		for _, n := range f.senders {
 			if x -= n.weight; x < 0 {
 				pick = n
 				break
 			}
 		}
-		f.came++
+		f.arrivals++
 		ci := [...]int{0, 0, 0, 0, 0, 0, 1, 1, 1, 2}[f.rnd.IntN(10)]
-		f.hand(pick, &fleetMsg{id: fmt.Sprint("m", f.came), class: ci, deadline: f.now + f.set.Classes[ci].Deadline})
+		f.handIn(pick, &fleetMessage{id: fmt.Sprint("m", f.arrivals), class: ci, deadline: f.now + f.settings.Classes[ci].Deadline})
 		if t := f.now + 1 + Micros(f.rnd.ExpFloat64()/rate*float64(Second)); t < end {
-			f.at(t, next)
+			f.schedule(t, next)
 		}
 	}
-	f.at(0, next)
+	f.schedule(0, next)
 }
 
-// hand gives a message to a sender, or to another one while that is down.
-func (f *fleet) hand(n *fleetNode, m *fleetMsg) {
-	for n.dead {
-		n = f.nodes[f.rnd.IntN(len(f.nodes))]
+// handIn gives a message to a sender, or to another one while that is down.
+func (f *fleet) handIn(n *fleetSender, m *fleetMessage) {
+	for n.stopped {
+		n = f.senders[f.rnd.IntN(len(f.senders))]
 	}
-	n.msgs[m.id] = m
-	f.step(n, Call{ID: m.id, Left: m.deadline - f.now, Dest: 9, Tenant: -1, Class: m.class})
+	n.messages[m.id] = m
+	f.step(n, NewMessage{ID: m.id, TimeLeft: m.deadline - f.now, Destination: 9, Tenant: -1, Class: m.class})
 }
 
-func (f *fleet) step(n *fleetNode, evs ...Event) {
-	life := n.life
-	for _, a := range n.s.Step(f.now, evs) {
+func (f *fleet) step(n *fleetSender, evs ...Event) {
+	life := n.generation
+	for _, a := range n.sender.Step(f.now, evs) {
 		switch a := a.(type) {
 		case CallOut:
-			f.call(n, a)
+			f.startAttempt(n, a)
 		case Cancel:
-			if m := n.msgs[a.ID]; m != nil && m.out != nil {
-				try, n0 := m.out, m.tries-1
-				f.at(f.now+5000, func() { f.land(n, life, m, try, Reply{Attempt: n0, Outcome: Recalled}) })
+			if m := n.messages[a.ID]; m != nil && m.attempt != nil {
+				try, n0 := m.attempt, m.tries-1
+				f.schedule(f.now+5000, func() { f.finishAttempt(n, life, m, try, AttemptResult{Attempt: n0, Outcome: Cancelled}) })
 			}
 		case SetTimer:
-			f.at(f.now+a.Wait, func() {
-				if n.life == life {
-					f.step(n, Due{a.Token})
+			f.schedule(f.now+a.Wait, func() {
+				if n.generation == life {
+					f.step(n, TimerExpired{a.Token})
 				}
 			})
 		case Refuse:
-			m := n.msgs[a.ID]
-			delete(n.msgs, a.ID)
-			back := f.now + a.RetryIn + f.span(0, Second)
-			if m.back++; m.back > 2 || back+Second > m.deadline || f.rnd.IntN(3) == 0 {
+			m := n.messages[a.ID]
+			delete(n.messages, a.ID)
+			back := f.now + a.RetryIn + f.randomSpan(0, Second)
+			if m.clientRetries++; m.clientRetries > 2 || back+Second > m.deadline || f.rnd.IntN(3) == 0 {
 				continue
 			}
-			again := &fleetMsg{id: fmt.Sprint(m.id, "x"), class: m.class, deadline: m.deadline, back: m.back}
-			f.at(back, func() { f.hand(f.nodes[f.rnd.IntN(len(f.nodes))], again) })
+			again := &fleetMessage{id: fmt.Sprint(m.id, "x"), class: m.class, deadline: m.deadline, clientRetries: m.clientRetries}
+			f.schedule(back, func() { f.handIn(f.senders[f.rnd.IntN(len(f.senders))], again) })
 		case Fail:
-			if m := n.msgs[a.ID]; m != nil && m.out == nil {
-				delete(n.msgs, a.ID)
+			if m := n.messages[a.ID]; m != nil && m.attempt == nil {
+				delete(n.messages, a.ID)
 			}
 		}
 	}
 }
 
-// call sends one attempt to the destination.
-func (f *fleet) call(n *fleetNode, a CallOut) {
-	m, life, at := n.msgs[a.ID], n.life, f.now
+// startAttempt sends one attempt to the destination.
+func (f *fleet) startAttempt(n *fleetSender, a CallOut) {
+	m, life, at := n.messages[a.ID], n.generation, f.now
 	f.calls++
-	try := &fleetTry{}
+	try := &fleetAttempt{}
 	no := m.tries
 	m.tries++
-	m.out = try
-	if !m.mayRun {
-		m.firstMay = f.now
+	m.attempt = try
+	if !m.mayHaveRun {
+		m.firstMayHaveRunAt = f.now
 	}
-	e := n.s.eps[a.Endpoint]
-	p := push{told: n.told, path: "free"}
+	e := n.sender.endpoints[a.Endpoint]
+	p := recoveryCall{senderKnew: n.knowsOutage, allowedBy: "free"}
 	switch {
-	case e.suspect:
-		p.path = "trial"
-	case slices.ContainsFunc(e.dest.eps, func(x *endpoint) bool { return x.cold }):
-		p.path = "budget"
+	case e.ejected:
+		p.allowedBy = "trial"
+	case slices.ContainsFunc(e.destination.endpoints, func(x *endpoint) bool { return x.recovering }):
+		p.allowedBy = "budget"
 	}
-	if n.s.msgs[a.ID].untried {
-		p.path += ", kept"
+	if n.sender.messages[a.ID].untried {
+		p.allowedBy += ", kept"
 	}
 	land := func(after Micros, o Outcome, wait Micros, load []float64) {
-		f.at(f.now+after, func() {
-			f.land(n, life, m, try, Reply{Attempt: no, Endpoint: a.Endpoint, Outcome: o, Took: f.now - at, Wait: wait, Load: load})
+		f.schedule(f.now+after, func() {
+			f.finishAttempt(n, life, m, try, AttemptResult{Attempt: no, Endpoint: a.Endpoint, Outcome: o, Duration: f.now - at, RetryAfter: wait, Load: load})
 		})
 	}
-	f.at(at+a.GiveUp, func() {
-		f.land(n, life, m, try, Reply{Attempt: no, Endpoint: a.Endpoint, Outcome: Overdue, Took: a.GiveUp})
+	f.schedule(at+a.GiveUp, func() {
+		f.finishAttempt(n, life, m, try, AttemptResult{Attempt: no, Endpoint: a.Endpoint, Outcome: TimedOut, Duration: a.GiveUp})
 	})
-	f.at(at+f.span(5000, 15_000), func() {
-		if f.rnd.Float64() < f.c.stray {
-			land(f.span(5000, 60_000), Severed, 0, nil)
+	f.schedule(at+f.randomSpan(5000, 15_000), func() {
+		if f.rnd.Float64() < f.deployment.chanceFailureRate {
+			land(f.randomSpan(5000, 60_000), ConnBroken, 0, nil)
 			return
 		}
-		if f.now >= f.down && f.now < f.up && f.c.fault != well && (a.Endpoint == 1 || !f.c.partly) {
-			switch f.c.fault {
-			case refuses:
-				land(f.span(5000, 15_000), RefusedConn, 0, nil)
-			case resets:
-				land(f.span(5000, 60_000), Severed, 0, nil)
-			case shuts:
-				land(f.span(5000, 15_000), Full, 0, nil)
-			case fails:
+		if f.now >= f.downAt && f.now < f.upAt && f.deployment.fault != faultNone && (a.Endpoint == 1 || !f.deployment.firstEndpointOnly) {
+			switch f.deployment.fault {
+			case faultRefuse:
+				land(f.randomSpan(5000, 15_000), ConnRefused, 0, nil)
+			case faultReset:
+				land(f.randomSpan(5000, 60_000), ConnBroken, 0, nil)
+			case faultReject:
+				land(f.randomSpan(5000, 15_000), Rejected, 0, nil)
+			case faultError:
 				o := Errored
 				if f.rnd.IntN(5) == 0 {
 					o = Completed
 				}
-				land(f.span(5000, 60_000), o, 0, nil)
+				land(f.randomSpan(5000, 60_000), o, 0, nil)
 			}
 			return
 		}
-		if f.now >= f.up {
+		if f.now >= f.upAt {
 			p.at = f.now
-			f.pushes = append(f.pushes, p)
+			f.recoveryCalls = append(f.recoveryCalls, p)
 		}
 		// What it has room for within a second is taken, the rest turned away unseen.
 		room := f.capacity(f.now)
-		used := float64(since(f.taken, f.now-Second))
+		used := float64(countAfter(f.acceptedAt, f.now-Second))
 		var load []float64
-		if f.c.told > 1 {
-			load = []float64{max(0, 1-(used+1)/room), f.c.rate}
+		if f.deployment.limitSource > 1 {
+			load = []float64{max(0, 1-(used+1)/room), f.deployment.limitRPS}
 		}
 		if used+1 > max(room, 1) {
 			wait := Micros(0)
 			if f.rnd.IntN(2) == 0 {
-				wait = f.span(100_000, 900_000)
+				wait = f.randomSpan(100_000, 900_000)
 			}
-			land(f.span(5000, 15_000), Full, wait, load)
+			land(f.randomSpan(5000, 15_000), Rejected, wait, load)
 			return
 		}
-		f.taken = append(f.taken, f.now)
-		land(f.span(30_000, 300_000), Completed, 0, load)
+		f.acceptedAt = append(f.acceptedAt, f.now)
+		land(f.randomSpan(30_000, 300_000), Completed, 0, load)
 	})
 }
 
 // capacity is what the destination takes now, in calls a second.
 func (f *fleet) capacity(t Micros) float64 {
-	if t < f.up || f.c.fault == well || f.c.partly {
-		return f.c.rate
+	if t < f.upAt || f.deployment.fault == faultNone || f.deployment.firstEndpointOnly {
+		return f.deployment.limitRPS
 	}
-	part := f.set.ColdFrom + (1-f.set.ColdFrom)*min(1, seconds(t-f.up)/seconds(f.set.WarmAfter))
-	return f.c.rate * part
+	part := f.settings.ColdFrom + (1-f.settings.ColdFrom)*min(1, seconds(t-f.upAt)/seconds(f.settings.WarmAfter))
+	return f.deployment.limitRPS * part
 }
 
-// land brings the outcome of an attempt, once, unless its sender has died.
-func (f *fleet) land(n *fleetNode, life int, m *fleetMsg, try *fleetTry, r Reply) {
-	if try.over || n.life != life {
+// finishAttempt brings the outcome of an attempt, once, unless its sender has died.
+func (f *fleet) finishAttempt(n *fleetSender, life int, m *fleetMessage, try *fleetAttempt, r AttemptResult) {
+	if try.ended || n.generation != life {
 		return
 	}
-	try.over, m.out = true, nil
+	try.ended, m.attempt = true, nil
 	r.ID = m.id
 	if r.Outcome == Completed {
-		r.NoMore = true
-		delete(n.msgs, m.id)
-		f.served = append(f.served, f.now)
-		if f.now <= m.deadline-f.set.Classes[m.class].Deadline+f.set.Classes[m.class].Aim {
-			f.soon++
+		r.MessageEnded = true
+		delete(n.messages, m.id)
+		f.deliveredAt = append(f.deliveredAt, f.now)
+		if f.now <= m.deadline-f.settings.Classes[m.class].Deadline+f.settings.Classes[m.class].Aim {
+			f.deliveredWithinAim++
 		}
 	}
-	if r.Outcome != RefusedConn && r.Outcome != Full {
-		m.mayRun = true
+	if r.Outcome != ConnRefused && r.Outcome != Rejected {
+		m.mayHaveRun = true
 	}
-	e := n.s.msgs[m.id]
-	if e == nil || e.over {
-		r.NoMore = true
-		delete(n.msgs, m.id)
+	e := n.sender.messages[m.id]
+	if e == nil || e.ended {
+		r.MessageEnded = true
+		delete(n.messages, m.id)
 	}
-	if r.Endpoint == 0 && e != nil && e.out != nil {
-		r.Endpoint = e.out.ep.id
+	if r.Endpoint == 0 && e != nil && e.attempt != nil {
+		r.Endpoint = e.attempt.endpoint.id
 	}
 	f.step(n, r)
-	if r.Outcome != Completed && f.now >= f.down && f.now-r.Took < f.up {
-		n.told = true
+	if r.Outcome != Completed && f.now >= f.downAt && f.now-r.Duration < f.upAt {
+		n.knowsOutage = true
 	}
 }
 
 // fleetResult is what a day showed.
 type fleetResult struct {
-	margin  float64 // the worst window: calls over N + 2 root of N + 2
-	told    float64 // the same among windows of which over two thirds came from senders that had been told
-	calls   int     // of that window ...
-	bound   float64 // ... and what it bears
-	after   Micros  // its end, since the return
-	paths   map[string]int
-	whole   Micros  // until four fifths of what was served before are served again, since the return; -1 if never
-	share   float64 // of messages served
-	perfect float64 // what the destination had room for since its return, over what it took
+	worstLoad      float64 // the worst window: calls over N + 2 root of N + 2
+	worstKnownLoad float64 // the same among windows of which over two thirds came from senders that had been told
+	calls          int     // of that window ...
+	bound          float64 // ... and what it bears
+	windowEnd      Micros  // its end, since the return
+	callsByPath    map[string]int
+	recoveredAfter Micros  // until four fifths of what was served before are served again, since the return; -1 if never
+	deliveredShare float64 // of messages served
+	capacityUsed   float64 // what the destination had room for since its return, over what it took
 }
 
 // play runs the day.
 func (f *fleet) play(t *testing.T) (r fleetResult) {
 	t.Helper()
-	if f.c.restarts {
-		for _, n := range f.nodes { // seven in ten at once, others later
-			at := f.down + (f.up-f.down)/2
+	if f.deployment.restarts {
+		for _, n := range f.senders { // seven in ten at once, others later
+			at := f.downAt + (f.upAt-f.downAt)/2
 			switch x := f.rnd.IntN(10); {
 			case x >= 9:
 				continue
 			case x >= 7:
-				at = f.down + f.span(0, f.up-f.down)
+				at = f.downAt + f.randomSpan(0, f.upAt-f.downAt)
 			}
-			f.at(at, func() { f.kill(t, n) })
+			f.schedule(at, func() { f.crash(t, n) })
 		}
 	}
-	end := f.up + f.set.WarmAfter + 6*Second
+	end := f.upAt + f.settings.WarmAfter + 6*Second
 	load := 0.45 + 0.4*f.rnd.Float64()
-	if f.c.load > 0 {
-		load = f.c.load
+	if f.deployment.loadShare > 0 {
+		load = f.deployment.loadShare
 	}
-	f.arrive(f.c.rate*load, end)
+	f.arrive(f.deployment.limitRPS*load, end)
 	for f.queue.Len() > 0 {
-		x := heap.Pop(&f.queue).(fleetItem)
+		x := heap.Pop(&f.queue).(fleetEvent)
 		if f.now = x.at; f.now > end {
 			break
 		}
-		x.do()
+		x.run()
 	}
-	return f.judge(end)
+	return f.evaluate(end)
 }
 
-// judge holds the pushes against the rule, in the window that ends with each.
-func (f *fleet) judge(end Micros) (r fleetResult) {
+// evaluate holds the pushes against the rule, in the window that ends with each.
+func (f *fleet) evaluate(end Micros) (r fleetResult) {
 	from, told := 0, 0
-	for i, p := range f.pushes {
-		if p.at > f.up+f.set.WarmAfter {
+	for i, p := range f.recoveryCalls {
+		if p.at > f.upAt+f.settings.WarmAfter {
 			break // as warm as ever
 		}
-		if p.told {
+		if p.senderKnew {
 			told++
 		}
-		for f.pushes[from].at <= p.at-f.set.FallWindow {
-			if f.pushes[from].told {
+		for f.recoveryCalls[from].at <= p.at-f.settings.FallWindow {
+			if f.recoveryCalls[from].senderKnew {
 				told--
 			}
 			from++
 		}
 		n := i - from + 1
-		most := f.set.FallMultiple * f.capacity(p.at) * seconds(f.set.FallWindow)
+		most := f.settings.FallMultiple * f.capacity(p.at) * seconds(f.settings.FallWindow)
 		most += 2*math.Sqrt(most) + 2
 		x := float64(n) / most
-		r.margin = max(r.margin, x)
-		if 3*told > 2*n && x > r.told {
-			r.told, r.calls, r.bound, r.after, r.paths = x, n, most, p.at-f.up, map[string]int{}
-			for _, q := range f.pushes[from : i+1] {
-				if !q.told {
-					q.path += " of the untold"
+		r.worstLoad = max(r.worstLoad, x)
+		if 3*told > 2*n && x > r.worstKnownLoad {
+			r.worstKnownLoad, r.calls, r.bound, r.windowEnd, r.callsByPath = x, n, most, p.at-f.upAt, map[string]int{}
+			for _, q := range f.recoveryCalls[from : i+1] {
+				if !q.senderKnew {
+					q.allowedBy += " of the untold"
 				}
-				r.paths[q.path]++
+				r.callsByPath[q.allowedBy]++
 			}
 		}
 	}
-	before := float64(since(f.served, f.down-8*Second)-since(f.served, f.down)) / 8
-	r.whole = -1
-	for i, t := range f.served {
-		if j := i - int(0.8*before*3); t > f.up && before > 0 && j >= 0 && f.served[j] > max(f.up, t-3*Second) {
-			r.whole = t - f.up
+	before := float64(countAfter(f.deliveredAt, f.downAt-8*Second)-countAfter(f.deliveredAt, f.downAt)) / 8
+	r.recoveredAfter = -1
+	for i, t := range f.deliveredAt {
+		if j := i - int(0.8*before*3); t > f.upAt && before > 0 && j >= 0 && f.deliveredAt[j] > max(f.upAt, t-3*Second) {
+			r.recoveredAfter = t - f.upAt
 			break
 		}
 	}
-	r.share = float64(len(f.served)) / float64(f.came)
+	r.deliveredShare = float64(len(f.deliveredAt)) / float64(f.arrivals)
 	room := 0.0
-	for t := f.up; t < end; t += Second / 10 {
+	for t := f.upAt; t < end; t += Second / 10 {
 		room += f.capacity(t) / 10
 	}
-	r.perfect = float64(since(f.served, f.up)) / room
+	r.capacityUsed = float64(countAfter(f.deliveredAt, f.upAt)) / room
 	return r
 }
 
@@ -501,9 +501,9 @@
 				for endpoints := 1; endpoints <= 2; endpoints++ {
 					n++
 					rnd := rand.New(rand.NewPCG(seed*1000+n, 5))
-					cs = append(cs, fleetCase{senders: senders, endpoints: endpoints, told: told, fault: how,
-						uneven: rnd.IntN(3) > 0, restarts: rnd.IntN(3) == 0, rules: rnd.IntN(len(fleetRules)),
-						rate: rates[rnd.IntN(len(rates))], seed: seed*1000 + n})
+					cs = append(cs, fleetCase{senders: senders, endpoints: endpoints, limitSource: told, fault: how,
+						unevenLoad: rnd.IntN(3) > 0, restarts: rnd.IntN(3) == 0, ruleIndex: rnd.IntN(len(fleetRules)),
+						limitRPS: rates[rnd.IntN(len(rates))], seed: seed*1000 + n})
 				}
 			}
 		}
@@ -513,7 +513,7 @@
 
 // A cold destination falls under the sum of what all send; the rule is broken if over two thirds of that came from
 // senders that knew. Each has only what it saw itself.
-func keepsUp(t *testing.T, seeds int, faults ...fault) {
+func checkFleetKeepsUp(t *testing.T, seeds int, faults ...fault) {
 	t.Helper()
 	for _, senders := range []int{20, 30, 300, 540} {
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
@@ -525,41 +525,41 @@
 			for _, c := range fleetCases(senders, seeds, faults...) {
 				r := newFleet(t, c).play(t)
 				days++
-				served += r.share
-				use += r.perfect
-				if r.whole < 0 {
-					r.whole = never
+				served += r.deliveredShare
+				use += r.capacityUsed
+				if r.recoveredAfter < 0 {
+					r.recoveredAfter = never
 				}
-				wholes = append(wholes, r.whole)
-				if r.told > w.told {
+				wholes = append(wholes, r.recoveredAfter)
+				if r.worstKnownLoad > w.worstKnownLoad {
 					worst, w = c, r
 				}
-				if r.told > 1 {
+				if r.worstKnownLoad > 1 {
 					broken++
-					t.Errorf("%v: %d calls in a window %.1f s after the return, %.1f would do; %v", c, r.calls, seconds(r.after), r.bound, r.paths)
+					t.Errorf("%v: %d calls in a window %.1f s after the return, %.1f would do; %v", c, r.calls, seconds(r.windowEnd), r.bound, r.callsByPath)
 				}
 			}
 			slices.Sort(wholes)
 			t.Logf("%d senders, %d days, %d broken: worst margin %.2f, %d calls of %.1f, %.1f s after the return, %v\n  %v", senders,
-				days, broken, w.told, w.calls, w.bound, seconds(w.after), w.paths, worst)
+				days, broken, w.worstKnownLoad, w.calls, w.bound, seconds(w.windowEnd), w.callsByPath, worst)
 			t.Logf("%d senders: whole after a median of %.1f s, nine in ten after %.1f s; served %.2f, room used after the return %.2f",
 				senders, seconds(wholes[days/2]), seconds(wholes[days*9/10]), served/float64(days), use/float64(days))
 		})
 	}
 }
 
-func TestFleetKeepsAColdDestinationUp(t *testing.T) {
-	keepsUp(t, *fleetSeeds, hangs, refuses, resets, fails)
+func TestFleetDoesNotOverloadARecoveringDestination(t *testing.T) {
+	checkFleetKeepsUp(t, *fleetSeeds, faultHang, faultRefuse, faultReset, faultError)
 }
 
 // The same for a destination that was shut: it turned all calls away unseen, with neither a wait nor a report.
-func TestFleetKeepsADestinationUpThatWasShut(t *testing.T) {
-	keepsUp(t, 4**fleetSeeds, shuts)
+func TestFleetDoesNotOverloadADestinationThatRejectedAll(t *testing.T) {
+	checkFleetKeepsUp(t, 4**fleetSeeds, faultReject)
 }
 
 // Where nothing is out, calls that break by chance must not make a fleet slow: what each sender doubts for a while has
 // its price.
-func TestFleetAtStrayBreaks(t *testing.T) {
+func TestFleetDeliversDespiteChanceFailures(t *testing.T) {
 	for _, x := range []struct {
 		senders             int
 		rate, load          float64
@@ -573,12 +573,12 @@
 	} {
 		soon, served, calls := 0.0, 0.0, 0.0
 		for seed := range uint64(4) {
-			f := newFleet(t, fleetCase{senders: x.senders, endpoints: 1 + int(seed)%2, told: x.told, fault: well, uneven: true,
-				rate: x.rate, load: x.load, stray: x.stray, seed: seed})
+			f := newFleet(t, fleetCase{senders: x.senders, endpoints: 1 + int(seed)%2, limitSource: x.told, fault: faultNone, unevenLoad: true,
+				limitRPS: x.rate, loadShare: x.load, chanceFailureRate: x.stray, seed: seed})
 			f.play(t)
-			soon += float64(f.soon) / float64(f.came) / 4
-			served += float64(len(f.served)) / float64(f.came) / 4
-			calls += float64(f.calls) / float64(f.came) / 4
+			soon += float64(f.deliveredWithinAim) / float64(f.arrivals) / 4
+			served += float64(len(f.deliveredAt)) / float64(f.arrivals) / 4
+			calls += float64(f.calls) / float64(f.arrivals) / 4
 		}
 		t.Logf("%+v: served %.3f, within the aim %.3f, calls %.2f", x, served, soon, calls)
 		if served < x.served || soon < x.soon {
@@ -588,7 +588,7 @@
 }
 
 // Where one of two endpoints is down and the other takes all, a fleet must not hold back for long.
-func TestFleetWithOneEndpointDown(t *testing.T) {
+func TestFleetDeliversWithOneEndpointDown(t *testing.T) {
 	for _, x := range []struct {
 		senders      int
 		rate         float64
@@ -596,18 +596,18 @@
 		how          fault
 		served, soon float64 // least shares of the messages
 	}{
-		{20, 11, 0, refuses, 0.84, 0.58},
-		{300, 120, 1, hangs, 0.92, 0.74},
-		{300, 40, 1, refuses, 0.84, 0.67},
-		{300, 40, 0, resets, 0.88, 0.82},
+		{20, 11, 0, faultRefuse, 0.84, 0.58},
+		{300, 120, 1, faultHang, 0.92, 0.74},
+		{300, 40, 1, faultRefuse, 0.84, 0.67},
+		{300, 40, 0, faultReset, 0.88, 0.82},
 	} {
 		soon, served := 0.0, 0.0
 		for seed := range uint64(6) {
-			f := newFleet(t, fleetCase{senders: x.senders, endpoints: 2, told: x.told, fault: x.how, uneven: true,
-				rate: x.rate, load: 0.6, partly: true, seed: seed})
+			f := newFleet(t, fleetCase{senders: x.senders, endpoints: 2, limitSource: x.told, fault: x.how, unevenLoad: true,
+				limitRPS: x.rate, loadShare: 0.6, firstEndpointOnly: true, seed: seed})
 			f.play(t)
-			soon += float64(f.soon) / float64(f.came) / 6
-			served += float64(len(f.served)) / float64(f.came) / 6
+			soon += float64(f.deliveredWithinAim) / float64(f.arrivals) / 6
+			served += float64(len(f.deliveredAt)) / float64(f.arrivals) / 6
 		}
 		t.Logf("%+v: served %.3f, within the aim %.3f", x, served, soon)
 		if served < x.served || soon < x.soon {
--- a/logic/handover.go
+++ b/logic/handover.go
@@ -23,29 +23,29 @@
 	UnusableAt Micros `json:",omitempty"` // as Sender.unusableAt
 	Old        bool   // the list is as saved before the start
 	Banned     []EndpointID
-	ByClass    []savedHist
-	Usage      []savedUsage
-	Dests      []savedDest     `json:",omitempty"` // without them the state's tables come in rows
-	Endpoints  []savedEndpoint `json:",omitempty"`
-	Sizes      []int           `json:",omitempty"` // then: how many there are of both
-	Messages   []savedMsg
+	ByClass    []savedHistogram
+	Usage      []savedTenantUsage
+	Dests      []savedDestination `json:",omitempty"` // without them the state's tables come in rows
+	Endpoints  []savedEndpoint    `json:",omitempty"`
+	Sizes      []int              `json:",omitempty"` // then: how many there are of both
+	Messages   []savedMessage
 	Held       []string // messages not over, in order of arrival
 	Attempts   []savedAttempt
-	Keys       map[string]savedLine
+	Keys       map[string]savedKeyQueue
 }
 
-type savedHist struct {
+type savedHistogram struct {
 	W           [binCount + 1]float64
 	Total, Cuts float64
 	At          Micros
 }
 
-type savedUsage struct {
+type savedTenantUsage struct {
 	N  float64
 	At Micros
 }
 
-type savedLane struct {
+type savedLimiter struct {
 	Limit, Left, Pace, Tokens, Peak, Phase float64
 	Told                                   bool
 	Halved, Filled, Until, FirstFull       Micros
@@ -53,12 +53,12 @@
 	Sent                                   []Micros
 }
 
-type savedDest struct {
+type savedDestination struct {
 	ID           int64
 	Kind, Next   int
 	Listed       []EndpointID
-	Lane         savedLane
-	Hist         savedHist
+	Lane         savedLimiter
+	Hist         savedHistogram
 	Used, DownAt Micros
 	Came         int
 }
@@ -66,9 +66,9 @@
 type savedEndpoint struct {
 	ID                                                     EndpointID
 	Zone                                                   int
-	State                                                  Readiness
+	State                                                  EndpointState
 	Dest                                                   int64
-	Lane                                                   *savedLane // nil if it is the destination's
+	Lane                                                   *savedLimiter // nil if it is the destination's
 	Sent                                                   []Micros
 	Bad, Slow                                              float64
 	Fails, Fulls                                           int
@@ -77,7 +77,7 @@
 	TrialGap                                               Micros
 }
 
-type savedMsg struct {
+type savedMessage struct {
 	ID                              string
 	Class, Seq, Tries, Cuts         int
 	Share                           float64
@@ -98,34 +98,34 @@
 	Cancelled, Cut, Stuck, Late bool
 }
 
-type savedLine struct {
+type savedKeyQueue struct {
 	IDs   []string
 	Quiet Micros
 	By    string
 }
 
-// Settle takes what happened like Step, but sends nothing: what it returns are ends and notes only. It is for a
+// ApplyWithoutSending takes what happened like Step, but sends nothing: what it returns are ends and notes only. It is for a
 // Sender that is about to be saved.
-func (s *Sender) Settle(now Micros, events []Event) []Action {
+func (s *Sender) ApplyWithoutSending(now Micros, events []Event) []Action {
 	s.now = max(s.now, now)
 	s.step++
-	s.out, s.wake = nil, never
+	s.actions, s.nextWakeAt = nil, never
 	for _, ev := range events {
-		s.take(ev)
+		s.handleEvent(ev)
 	}
-	return s.out
+	return s.actions
 }
 
-func (h *hist) save() savedHist {
-	x := savedHist{Total: h.total, Cuts: h.cuts, At: h.at}
+func (h *histogram) save() savedHistogram {
+	x := savedHistogram{Total: h.total, Cuts: h.cutOffs, At: h.updatedAt}
 	for i := range x.W {
-		x.W[i] = h.bins.at(i)
+		x.W[i] = h.bins.weight(i)
 	}
 	return x
 }
 
-func (x savedHist) hist() hist {
-	h := hist{total: x.Total, cuts: x.Cuts, at: x.At}
+func (x savedHistogram) histogram() histogram {
+	h := histogram{total: x.Total, cutOffs: x.Cuts, updatedAt: x.At}
 	low, end := 0, len(x.W)
 	for low < end && x.W[low] == 0 {
 		low++
@@ -134,93 +134,93 @@
 		end--
 	}
 	if low < end {
-		h.bins = &bins{low, slices.Clone(x.W[low:end])}
+		h.bins = &binWeights{low, slices.Clone(x.W[low:end])}
 	}
-	if h.total+max(h.cuts, 0) > 0 {
-		h.update()
+	if h.total+max(h.cutOffs, 0) > 0 {
+		h.recompute()
 	}
 	return h
 }
 
-func (l *lane) save() savedLane {
-	return savedLane{Limit: l.limit, Left: l.left, Pace: l.pace, Tokens: l.tokens, Peak: l.peak, Phase: l.phase, Told: l.told,
-		Halved: l.halved, Filled: l.filled, Until: l.until, FirstFull: l.firstFull, Fulls: int(l.fulls), Sent: l.sent}
+func (l *limiter) save() savedLimiter {
+	return savedLimiter{Limit: l.limit, Left: l.limitLeft, Pace: l.pace, Tokens: l.tokens, Peak: l.peakRate, Phase: l.phase, Told: l.limitReported,
+		Halved: l.halvedAt, Filled: l.refilledAt, Until: l.waitUntil, FirstFull: l.firstRejectedAt, Fulls: int(l.consecutiveRejections), Sent: l.sentTimes}
 }
 
-func (x savedLane) lane() *lane {
-	return &lane{limit: x.Limit, left: x.Left, pace: x.Pace, tokens: x.Tokens, peak: x.Peak, phase: x.Phase, told: x.Told,
-		halved: x.Halved, filled: x.Filled, until: x.Until, firstFull: x.FirstFull, fulls: uint16(min(max(x.Fulls, 0), math.MaxUint16)), sent: x.Sent}
+func (x savedLimiter) limiter() *limiter {
+	return &limiter{limit: x.Limit, limitLeft: x.Left, pace: x.Pace, tokens: x.Tokens, peakRate: x.Peak, phase: x.Phase, limitReported: x.Told,
+		halvedAt: x.Halved, refilledAt: x.Filled, waitUntil: x.Until, firstRejectedAt: x.FirstFull, consecutiveRejections: uint16(min(max(x.Fulls, 0), math.MaxUint16)), sentTimes: x.Sent}
 }
 
 // Save returns the state. The Sender must not be used afterwards, unless nobody goes on in its place.
 func (s *Sender) Save() Saved { return s.save(true) }
 
 func (s *Sender) save(tables bool) Saved {
-	out := Saved{Now: s.now, Seq: s.seq, Logs: s.logs, Stray: s.stray, MeanWorth: s.meanWorth, Turned: s.turned, Room: s.room,
-		AskAt: s.askAt, AskGap: s.askGap, ListAt: s.listAt, Watched: s.watched, Old: s.saved, Silent: s.silent, UnusableAt: s.unusableAt, Banned: slices.Sorted(maps.Keys(s.banned)), Keys: map[string]savedLine{}}
-	for i := range s.byClass {
-		out.ByClass = append(out.ByClass, s.byClass[i].save())
+	out := Saved{Now: s.now, Seq: s.lastSeq, Logs: s.logLines, Stray: s.chanceFailureRate, MeanWorth: s.meanWorth, Turned: s.rejectedShare, Room: s.newConnsAccepted,
+		AskAt: s.listRequestAt, AskGap: s.listRetryDelay, ListAt: s.listConfirmedAt, Watched: s.watchOpen, Old: s.listSaved, Silent: s.agentUnresponsive, UnusableAt: s.unusableAnswerAt, Banned: slices.Sorted(maps.Keys(s.banned)), Keys: map[string]savedKeyQueue{}}
+	for i := range s.classHistograms {
+		out.ByClass = append(out.ByClass, s.classHistograms[i].save())
 	}
-	for _, u := range s.usage {
-		out.Usage = append(out.Usage, savedUsage{u.n, u.at})
+	for _, u := range s.tenantUsage {
+		out.Usage = append(out.Usage, savedTenantUsage{u.messages, u.updatedAt})
 	}
 	if tables {
 		s.saveTables(&out)
 	}
-	for key, l := range s.keys {
-		x := savedLine{Quiet: l.quiet}
-		for _, m := range l.q {
+	for key, l := range s.orderKeys {
+		x := savedKeyQueue{Quiet: l.quietUntil}
+		for _, m := range l.messages {
 			x.IDs = append(x.IDs, m.id)
 		}
-		if l.by != nil {
-			x.By = l.by.id
+		if l.quietOwner != nil {
+			x.By = l.quietOwner.id
 		}
 		out.Keys[key] = x
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.msgs)) {
-		m := s.msgs[id]
-		x := savedMsg{ID: m.id, Class: m.ci, Seq: m.seq, Tries: m.tries, Cuts: m.cuts, Share: m.share, Dest: m.dest.id,
-			First: m.first, Deadline: m.deadline, FirstMay: m.firstMay, Rest: m.rest, MayRun: m.mayRun, Over: m.over,
-			Flows: m.flows, MayZone: int(m.mayZone), Untried: m.untried, Half: m.half, Chance: m.chance}
-		if m.last != nil {
-			x.Last, x.HasLast = m.last.id, true
+	for _, id := range slices.Sorted(maps.Keys(s.messages)) {
+		m := s.messages[id]
+		x := savedMessage{ID: m.id, Class: m.classIndex, Seq: m.seq, Tries: m.tries, Cuts: m.cutOffs, Share: m.worthShare, Dest: m.destination.id,
+			First: m.receivedAt, Deadline: m.deadline, FirstMay: m.firstMayHaveRunAt, Rest: m.notBefore, MayRun: m.mayHaveRun, Over: m.ended,
+			Flows: m.streaming, MayZone: int(m.mayHaveRunZone), Untried: m.untried, Half: m.listWaitUntil, Chance: m.lastChanceAt}
+		if m.lastEndpoint != nil {
+			x.Last, x.HasLast = m.lastEndpoint.id, true
 		}
 		out.Messages = append(out.Messages, x)
 	}
-	for _, m := range s.held {
+	for _, m := range s.openMessages {
 		out.Held = append(out.Held, m.id)
 	}
 	calls := map[*call]int{}
-	for _, a := range s.flying {
+	for _, a := range s.attempts {
 		n, ok := calls[a.call]
 		if !ok {
 			n = len(calls)
 			calls[a.call] = n
 		}
-		out.Attempts = append(out.Attempts, savedAttempt{ID: a.m.id, N: a.n, Call: n, Endpoint: a.ep.id, At: a.at,
-			Cancelled: a.cancelled, Cut: a.cut, Stuck: a.stuck, Late: a.late})
+		out.Attempts = append(out.Attempts, savedAttempt{ID: a.message.id, N: a.number, Call: n, Endpoint: a.endpoint.id, At: a.sentAt,
+			Cancelled: a.cancelled, Cut: a.cutOff, Stuck: a.stuck, Late: a.countedLate})
 	}
 	return out
 }
 
 // saveTables adds destinations and endpoints.
 func (s *Sender) saveTables(out *Saved) {
-	for _, d := range s.order {
-		x := savedDest{ID: d.id, Kind: int(d.kind), Next: d.next, Lane: d.lane.save(), Hist: d.hist.save(), Used: d.used,
-			DownAt: d.downAt, Came: int(d.came)}
-		for _, e := range d.eps {
+	for _, d := range s.destinationOrder {
+		x := savedDestination{ID: d.id, Kind: int(d.kind), Next: d.nextEndpoint, Lane: d.limiter.save(), Hist: d.histogram.save(), Used: d.lastUsedAt,
+			DownAt: d.lastOutageAt, Came: int(d.arrivals)}
+		for _, e := range d.endpoints {
 			x.Listed = append(x.Listed, e.id)
 		}
 		out.Dests = append(out.Dests, x)
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.eps)) {
-		e := s.eps[id]
-		x := savedEndpoint{ID: e.id, Zone: int(e.zone), State: e.state, Dest: e.dest.id, Sent: e.sent, Bad: e.bad,
-			Slow: e.slow, Fails: int(e.fails), Fulls: int(e.fulls), Suspect: e.suspect, Cold: e.cold, LastOK: e.lastOK,
-			LastBad: e.lastBad, Well: e.well, BackAt: e.backAt, TrialAt: e.trialAt, LastSent: e.lastSent,
-			Warm: e.warm, TrialGap: e.trialGap}
-		if e.lane != e.dest.lane {
-			l := e.lane.save()
+	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
+		e := s.endpoints[id]
+		x := savedEndpoint{ID: e.id, Zone: int(e.zone), State: e.state, Dest: e.destination.id, Sent: e.sentTimes, Bad: e.failureRate,
+			Slow: e.smoothedLatency, Fails: int(e.consecutiveFailures), Fulls: int(e.consecutiveRejections), Suspect: e.ejected, Cold: e.recovering, LastOK: e.lastSuccessAt,
+			LastBad: e.lastFailureAt, Well: e.lastHealthyAt, BackAt: e.returnedAt, TrialAt: e.nextTrialAt, LastSent: e.lastSentAt,
+			Warm: e.idleConnUntil, TrialGap: e.trialInterval}
+		if e.limiter != e.destination.limiter {
+			l := e.limiter.save()
 			x.Lane = &l
 		}
 		out.Endpoints = append(out.Endpoints, x)
@@ -235,95 +235,95 @@
 		return nil, err
 	}
 	s.resumeTables(x)
-	s.resumeRest(x)
+	s.resumeWithoutTables(x)
 	return s, nil
 }
 
-// resumeRest takes up all but destinations and endpoints.
-func (s *Sender) resumeRest(x Saved) {
-	s.now, s.seq, s.logs, s.stray, s.meanWorth = x.Now, x.Seq, x.Logs, x.Stray, x.MeanWorth
-	s.askAt, s.askGap, s.listAt, s.watched, s.saved = x.AskAt, x.AskGap, x.ListAt, x.Watched, x.Old
-	s.silent, s.unusableAt = x.Silent, x.UnusableAt
-	if s.set.Pushed { // the watch of the process before is over, and ours is yet to begin
-		s.unwatch()
+// resumeWithoutTables takes up all but destinations and endpoints.
+func (s *Sender) resumeWithoutTables(x Saved) {
+	s.now, s.lastSeq, s.logLines, s.chanceFailureRate, s.meanWorth = x.Now, x.Seq, x.Logs, x.Stray, x.MeanWorth
+	s.listRequestAt, s.listRetryDelay, s.listConfirmedAt, s.watchOpen, s.listSaved = x.AskAt, x.AskGap, x.ListAt, x.Watched, x.Old
+	s.agentUnresponsive, s.unusableAnswerAt = x.Silent, x.UnusableAt
+	if s.settings.ListPushed { // the watch of the process before is over, and ours is yet to begin
+		s.endWatch()
 	}
-	maps.Copy(s.turned, x.Turned)
-	maps.Copy(s.room, x.Room)
+	maps.Copy(s.rejectedShare, x.Turned)
+	maps.Copy(s.newConnsAccepted, x.Room)
 	for _, id := range x.Banned {
 		s.banned[id] = true
 	}
-	for i := range min(len(x.ByClass), len(s.byClass)) {
-		s.byClass[i] = x.ByClass[i].hist()
+	for i := range min(len(x.ByClass), len(s.classHistograms)) {
+		s.classHistograms[i] = x.ByClass[i].histogram()
 	}
-	for i := range min(len(x.Usage), len(s.usage)) {
-		s.usage[i] = usage{x.Usage[i].N, x.Usage[i].At}
+	for i := range min(len(x.Usage), len(s.tenantUsage)) {
+		s.tenantUsage[i] = tenantUsage{x.Usage[i].N, x.Usage[i].At}
 	}
-	s.resumeMsgs(x)
+	s.resumeMessages(x)
 }
 
 func (s *Sender) resumeTables(x Saved) {
 	s.now = x.Now
 	for _, sd := range x.Dests {
-		d := s.dest(sd.ID)
-		d.kind, d.next, d.lane, d.hist = int32(sd.Kind), sd.Next, sd.Lane.lane(), sd.Hist.hist()
-		d.used, d.downAt, d.came = sd.Used, sd.DownAt, int32(sd.Came)
+		d := s.destinationFor(sd.ID)
+		d.kind, d.nextEndpoint, d.limiter, d.histogram = int32(sd.Kind), sd.Next, sd.Lane.limiter(), sd.Hist.histogram()
+		d.lastUsedAt, d.lastOutageAt, d.arrivals = sd.Used, sd.DownAt, int32(sd.Came)
 	}
 	for _, se := range x.Endpoints {
-		d := s.dest(se.Dest)
-		e := &endpoint{id: se.ID, zone: int32(se.Zone), state: se.State, dest: d, lane: d.lane, sent: se.Sent, bad: se.Bad,
-			slow: se.Slow, fails: int32(se.Fails), fulls: int32(se.Fulls), suspect: se.Suspect, cold: se.Cold, lastOK: se.LastOK,
-			lastBad: se.LastBad, well: se.Well, backAt: se.BackAt, trialAt: se.TrialAt, lastSent: se.LastSent,
-			warm: se.Warm, trialGap: se.TrialGap}
+		d := s.destinationFor(se.Dest)
+		e := &endpoint{id: se.ID, zone: int32(se.Zone), state: se.State, destination: d, limiter: d.limiter, sentTimes: se.Sent, failureRate: se.Bad,
+			smoothedLatency: se.Slow, consecutiveFailures: int32(se.Fails), consecutiveRejections: int32(se.Fulls), ejected: se.Suspect, recovering: se.Cold, lastSuccessAt: se.LastOK,
+			lastFailureAt: se.LastBad, lastHealthyAt: se.Well, returnedAt: se.BackAt, nextTrialAt: se.TrialAt, lastSentAt: se.LastSent,
+			idleConnUntil: se.Warm, trialInterval: se.TrialGap}
 		if se.Lane != nil {
-			e.lane = se.Lane.lane()
+			e.limiter = se.Lane.limiter()
 		}
-		d.hurt = d.hurt || e.cold || e.suspect
-		s.eps[e.id] = e
+		d.hadOutage = d.hadOutage || e.recovering || e.ejected
+		s.endpoints[e.id] = e
 	}
 	for _, sd := range x.Dests {
-		d := s.dest(sd.ID)
+		d := s.destinationFor(sd.ID)
 		for _, id := range sd.Listed {
-			if e := s.eps[id]; e != nil {
-				d.eps = append(d.eps, e)
+			if e := s.endpoints[id]; e != nil {
+				d.endpoints = append(d.endpoints, e)
 			}
 		}
 	}
 }
 
-func (s *Sender) resumeMsgs(x Saved) {
+func (s *Sender) resumeMessages(x Saved) {
 	for _, sm := range x.Messages {
-		if sm.Class < 0 || sm.Class >= len(s.set.Classes) {
+		if sm.Class < 0 || sm.Class >= len(s.settings.Classes) {
 			continue
 		}
-		m := &msg{id: sm.ID, class: &s.set.Classes[sm.Class], ci: sm.Class, share: sm.Share, dest: s.dest(sm.Dest),
-			seq: sm.Seq, first: sm.First, deadline: sm.Deadline, tries: sm.Tries, cuts: sm.Cuts, mayRun: sm.MayRun,
-			firstMay: sm.FirstMay, mayZone: int32(sm.MayZone), rest: sm.Rest, over: sm.Over, flows: sm.Flows, untried: sm.Untried,
-			half: sm.Half, chance: sm.Chance}
+		m := &message{id: sm.ID, class: &s.settings.Classes[sm.Class], classIndex: sm.Class, worthShare: sm.Share, destination: s.destinationFor(sm.Dest),
+			seq: sm.Seq, receivedAt: sm.First, deadline: sm.Deadline, tries: sm.Tries, cutOffs: sm.Cuts, mayHaveRun: sm.MayRun,
+			firstMayHaveRunAt: sm.FirstMay, mayHaveRunZone: int32(sm.MayZone), notBefore: sm.Rest, ended: sm.Over, streaming: sm.Flows, untried: sm.Untried,
+			listWaitUntil: sm.Half, lastChanceAt: sm.Chance}
 		if sm.HasLast {
-			m.last = s.eps[sm.Last]
+			m.lastEndpoint = s.endpoints[sm.Last]
 		}
-		if s.msgs[m.id] == nil {
-			m.dest.msgs++
-			s.msgs[m.id] = m
+		if s.messages[m.id] == nil {
+			m.destination.messageCount++
+			s.messages[m.id] = m
 		}
 	}
 	for _, id := range x.Held {
-		if m := s.msgs[id]; m != nil {
-			s.held = append(s.held, m)
+		if m := s.messages[id]; m != nil {
+			s.openMessages = append(s.openMessages, m)
 		}
 	}
 	for key, l := range x.Keys {
-		line := &keyLine{quiet: l.Quiet, by: s.msgs[l.By]}
+		line := &keyQueue{quietUntil: l.Quiet, quietOwner: s.messages[l.By]}
 		for _, id := range l.IDs {
-			if m := s.msgs[id]; m != nil {
-				line.q, m.line = append(line.q, m), line
+			if m := s.messages[id]; m != nil {
+				line.messages, m.keyQueue = append(line.messages, m), line
 			}
 		}
-		s.keys[key] = line
+		s.orderKeys[key] = line
 	}
 	calls := map[int]*call{}
 	for _, sa := range x.Attempts {
-		m, e := s.msgs[sa.ID], s.eps[sa.Endpoint]
+		m, e := s.messages[sa.ID], s.endpoints[sa.Endpoint]
 		if m == nil || e == nil {
 			continue
 		}
@@ -331,15 +331,15 @@
 		if c == nil {
 			c = &call{step: -1}
 			calls[sa.Call] = c
-			s.busy++
+			s.slotsInUse++
 			e.inflight++
-			e.lane.inflight++
+			e.limiter.inflight++
 		}
-		c.n++
-		c.left++
-		a := &attempt{m: m, n: sa.N, ep: e, at: sa.At, call: c, cancelled: sa.Cancelled, cut: sa.Cut, stuck: sa.Stuck,
-			late: sa.Late}
-		m.out = a
-		s.flying = append(s.flying, a)
+		c.attempts++
+		c.pending++
+		a := &attempt{message: m, number: sa.N, endpoint: e, sentAt: sa.At, call: c, cancelled: sa.Cancelled, cutOff: sa.Cut, stuck: sa.Stuck,
+			countedLate: sa.Late}
+		m.attempt = a
+		s.attempts = append(s.attempts, a)
 	}
 }
--- a/logic/handover_test.go
+++ b/logic/handover_test.go
@@ -9,12 +9,12 @@
 	"testing"
 )
 
-// transferred is a sender that goes on with what another one knows, by way of bytes as between two processes: a text, or
+// transferSender is a sender that goes on with what another one knows, by way of bytes as between two processes: a text, or
 // a text and rows.
-func transferred(t *testing.T, set Settings, s *Sender, inRows bool) *Sender {
+func transferSender(t *testing.T, set Settings, s *Sender, inRows bool) *Sender {
 	saved := s.Save()
 	if inRows {
-		saved = s.SaveRest()
+		saved = s.SaveWithoutTables()
 	}
 	text, err := json.Marshal(saved)
 	if err != nil {
@@ -26,7 +26,7 @@
 	}
 	var next *Sender
 	if inRows {
-		next, err = ResumeRows(set, 1, saved, copied(s.Rows()))
+		next, err = ResumeFromRows(set, 1, saved, copyRows(s.TableRows()))
 	} else {
 		next, err = Resume(set, 1, saved)
 	}
@@ -36,8 +36,8 @@
 	return next
 }
 
-// copied are rows as another process gets them: each is its reader's until the next, and then gone.
-func copied(rows iter.Seq[[]byte]) iter.Seq2[[]byte, error] {
+// copyRows are rows as another process gets them: each is its reader's until the next, and then gone.
+func copyRows(rows iter.Seq[[]byte]) iter.Seq2[[]byte, error] {
 	return func(yield func([]byte, error) bool) {
 		for row := range rows {
 			mine := slices.Clone(row)
@@ -51,21 +51,21 @@
 	}
 }
 
-// replace lets another sender go on with what this one knows. Only chance, the number of the step and the timer that is
+// handOver lets another sender go on with what this one knows. Only chance, the number of the step and the timer that is
 // out stay as they were: they differ between senders.
-func (w *world) replace() {
-	w.swaps++
-	next := transferred(w.t, w.set, w.s, w.swaps%2 == 0)
-	next.rng, next.step, next.timer = w.s.rng, w.s.step, w.s.timer
-	w.s = next
+func (w *ruleChecker) handOver() {
+	w.handovers++
+	next := transferSender(w.t, w.settings, w.sender, w.handovers%2 == 0)
+	next.rng, next.step, next.timerAt = w.sender.rng, w.sender.step, w.sender.timerAt
+	w.sender = next
 }
 
 // A sender that goes on for another keeps the rules and does what that one would have done.
-func TestResumeGoesOn(t *testing.T) {
-	for name, set := range variants() {
+func TestResumedSenderContinuesAlike(t *testing.T) {
+	for name, set := range settingsVariants() {
 		t.Run(name, func(t *testing.T) {
-			one, many := newWorld(t, set, 4), newWorld(t, set, 4)
-			many.swap = Second / 2
+			one, many := newRuleChecker(t, set, 4), newRuleChecker(t, set, 4)
+			many.handoverInterval = Second / 2
 			one.play()
 			many.play()
 			i := 0
@@ -83,60 +83,60 @@
 }
 
 // Settle takes outcomes in and sends nothing, whatever could go.
-func TestSettleSendsNothing(t *testing.T) {
-	r := newRig(t, base())
-	c := r.call(0)
-	out := only[CallOut](r.step(1, list(1), c))
+func TestApplyWithoutSendingSendsNothing(t *testing.T) {
+	r := newHarness(t, baseSettings())
+	c := r.newMessage(0)
+	out := actionsOf[CallOut](r.step(1, fullList(1), c))
 	if len(out) != 1 {
 		t.Fatalf("%d sends", len(out))
 	}
-	acts := r.s.Settle(sec(1.1), []Event{answer(c.ID, 1, 0, Full), r.call(0)})
-	if n := len(only[CallOut](acts)); n != 0 {
+	acts := r.sender.ApplyWithoutSending(fromSeconds(1.1), []Event{resultOf(c.ID, 1, 0, Rejected), r.newMessage(0)})
+	if n := len(actionsOf[CallOut](acts)); n != 0 {
 		t.Errorf("%d sends", n)
 	}
-	if n := len(r.s.flying); n != 0 {
+	if n := len(r.sender.attempts); n != 0 {
 		t.Errorf("%d calls out after the outcome", n)
 	}
-	if n := len(only[CallOut](r.step(3))); n == 0 {
+	if n := len(actionsOf[CallOut](r.step(3))); n == 0 {
 		t.Error("nothing sent afterwards")
 	}
 }
 
 // A handover soon after a start takes along that the list is still the saved one, and what the start found untried.
-func TestResumeKeepsWhatAStartFound(t *testing.T) {
-	set, eps := limited(200)
-	r := newRig(t, set)
-	short, long := r.kept(0, 0.4), r.kept(0, 9)
-	if n := len(only[CallOut](r.step(100, eps, short, long))); n != 0 {
+func TestResumeKeepsSavedListAndRecoveredMessages(t *testing.T) {
+	set, eps := lowLimitDeployment(200)
+	r := newHarness(t, set)
+	short, long := r.recoveredMessage(0, 0.4), r.recoveredMessage(0, 9)
+	if n := len(actionsOf[CallOut](r.step(100, eps, short, long))); n != 0 {
 		t.Fatalf("%d sends on a saved list", n)
 	}
-	next, err := Resume(set, 1, r.s.Save())
+	next, err := Resume(set, 1, r.sender.Save())
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.s = next
-	if n := len(only[CallOut](r.step(100.1, r.call(0)))); n != 0 {
+	r.sender = next
+	if n := len(actionsOf[CallOut](r.step(100.1, r.newMessage(0)))); n != 0 {
 		t.Errorf("%d sends on a saved list after the handover", n)
 	}
-	if out := only[CallOut](r.step(100.21, Due{})); len(out) != 1 || out[0].ID != short.ID {
+	if out := actionsOf[CallOut](r.step(100.21, TimerExpired{})); len(out) != 1 || out[0].ID != short.ID {
 		t.Errorf("sent %v, want what has half of its time left", out)
 	}
-	if m := r.s.msgs[long.ID]; !m.untried || m.chance <= sec(100) {
+	if m := r.sender.messages[long.ID]; !m.untried || m.lastChanceAt <= fromSeconds(100) {
 		t.Errorf("found by the start: %+v", m)
 	}
 }
 
 // Both forms of the state carry all of it: what comes out of a transfer is what went in, bit by bit.
-func TestTransferIsWhole(t *testing.T) {
+func TestTransferKeepsAllState(t *testing.T) {
 	for name, set := range goldenVariants() {
-		g := newGolden(t, set, 5)
+		g := newGoldenStream(t, set, 5)
 		g.play(60, false)
 		for _, inRows := range []bool{false, true} {
-			next := transferred(t, set, g.s, inRows)
-			if !reflect.DeepEqual(slices.Sorted(maps.Keys(next.eps)), slices.Sorted(maps.Keys(g.s.eps))) {
+			next := transferSender(t, set, g.sender, inRows)
+			if !reflect.DeepEqual(slices.Sorted(maps.Keys(next.endpoints)), slices.Sorted(maps.Keys(g.sender.endpoints))) {
 				t.Errorf("%s, in rows %v: other endpoints after the transfer", name, inRows)
 			}
-			a, err := json.Marshal(g.s.Save())
+			a, err := json.Marshal(g.sender.Save())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -147,8 +147,8 @@
 			if string(a) != string(b) {
 				t.Errorf("%s, in rows %v: the state differs after the transfer", name, inRows)
 			}
-			for id, d := range next.dests {
-				if old := g.s.dests[id]; old != nil && (old.msgs != d.msgs || old.hist.tau != d.hist.tau) {
+			for id, d := range next.destinations {
+				if old := g.sender.destinations[id]; old != nil && (old.messageCount != d.messageCount || old.histogram.tau != d.histogram.tau) {
 					t.Errorf("%s, in rows %v: destination %d: %+v, before %+v", name, inRows, id, d, old)
 				}
 			}
@@ -157,13 +157,13 @@
 }
 
 // Rows that make no sense are refused, whatever they hold; none crashes the reader.
-func TestTransferOfNonsense(t *testing.T) {
-	set := base()
+func TestTransferRejectsInvalidRows(t *testing.T) {
+	set := baseSettings()
 	set.Senders = 60
-	g := newGolden(t, set, 5)
+	g := newGoldenStream(t, set, 5)
 	g.play(20, false)
 	var rows [][]byte
-	for row := range g.s.Rows() {
+	for row := range g.sender.TableRows() {
 		rows = append(rows, slices.Clone(row))
 	}
 	rnd, refused := g.rnd, 0
@@ -186,7 +186,7 @@
 				*row = append(*row, byte(rnd.IntN(256)), 0xff)
 			}
 		}
-		s, err := ResumeRows(set, 1, g.s.SaveRest(), func(yield func([]byte, error) bool) {
+		s, err := ResumeFromRows(set, 1, g.sender.SaveWithoutTables(), func(yield func([]byte, error) bool) {
 			for _, row := range bad {
 				if !yield(row, nil) {
 					return
@@ -197,7 +197,7 @@
 			refused++
 			continue
 		}
-		s.Step(g.now+Second, []Event{Call{ID: "after", Left: 10 * Second, Dest: int64(rnd.IntN(20)), Tenant: -1}})
+		s.Step(g.now+Second, []Event{NewMessage{ID: "after", TimeLeft: 10 * Second, Destination: int64(rnd.IntN(20)), Tenant: -1}})
 	}
 	if refused == 0 {
 		t.Error("nothing was refused")
--- a/logic/limits_test.go
+++ b/logic/limits_test.go
@@ -7,8 +7,8 @@
 	"unicode/utf8"
 )
 
-// TestModuleLimits keeps the module as short and narrow as its readers were promised.
-func TestModuleLimits(t *testing.T) {
+// TestSourceFileLimits keeps the module as short and narrow as its readers were promised.
+func TestSourceFileLimits(t *testing.T) {
 	names := []string{"logic.go", "types.go", "state.go", "settings.go", "membership.go", "endpoint_list.go", "queue.go",
 		"routing.go", "gate.go", "ejection.go", "slow_start.go", "rate_limit.go", "restart_time.go", "outcome.go",
 		"ending.go", "timer.go"}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -13,29 +13,32 @@
 )
 
 const (
-	binLeast    = 0x1p-80 // ours: a bin with less, 40 minutes after its last sample, counts as empty
-	manySenders = 16      // ours: more than this, one idle connection each, may fill an endpoint
-	logMost     = 200     // ours: log lines in a life
-	tableLeast  = 256     // ours: entries that a table may hold before any is dropped
-	sweepStep   = 2       // ours: destinations looked at with each message for what has aged
+	minBinWeight         = 0x1p-80 // ours: a bin with less, 40 minutes after its last sample, counts as empty
+	manySendersAbove     = 16      // ours: more than this, one idle connection each, may fill an endpoint
+	maxLogLines          = 200     // ours: log lines in a life
+	minPruneAbove        = 256     // ours: entries that a table may hold before any is dropped
+	destinationsPerSweep = 2       // ours: destinations looked at with each message for what has aged
 )
 
 // New makes a Sender. An error names the setting that makes no sense.
 func New(set Settings, seed uint64) (*Sender, error) {
-	if err := check(&set); err != nil {
+	if err := validate(&set); err != nil {
 		return nil, err
 	}
-	s := &Sender{set: set, rng: rand.New(rand.NewPCG(seed, 0)), now: math.MinInt64, askAt: never, askGap: askGap,
-		eps: map[EndpointID]*endpoint{}, banned: map[EndpointID]bool{}, dests: map[int64]*dest{},
-		msgs: map[string]*msg{}, keys: map[string]*keyLine{}, turned: map[int]float64{}, room: map[int]int{}}
-	if set.OnRequest {
-		s.askAt = math.MinInt64
+	s := &Sender{settings: set, rng: rand.New(rand.NewPCG(seed, 0)), now: math.MinInt64, listRequestAt: never,
+		listRetryDelay: firstListRetryMicros,
+		endpoints:      map[EndpointID]*endpoint{}, banned: map[EndpointID]bool{},
+		destinations: map[int64]*destination{},
+		messages:     map[string]*message{}, orderKeys: map[string]*keyQueue{}, rejectedShare: map[int]float64{},
+		newConnsAccepted: map[int]int{}}
+	if set.ListOnRequest {
+		s.listRequestAt = math.MinInt64
 	}
-	s.many, s.aim = set.Senders > manySenders, never
+	s.manySenders, s.shortestAim = set.Senders > manySendersAbove, never
 	for _, c := range set.Classes {
-		s.aim = min(s.aim, max(c.Aim, set.Tick, 1000))
+		s.shortestAim = min(s.shortestAim, max(c.Aim, set.Tick, 1000))
 	}
-	s.byClass, s.usage = make([]hist, len(set.Classes)), make([]usage, len(set.Tenants))
+	s.classHistograms, s.tenantUsage = make([]histogram, len(set.Classes)), make([]tenantUsage, len(set.Tenants))
 	return s, nil
 }
 
@@ -43,15 +46,15 @@
 func (s *Sender) Step(now Micros, events []Event) []Action {
 	s.now = max(s.now, now)
 	s.step++
-	s.out, s.wake = nil, never
+	s.actions, s.nextWakeAt = nil, never
 	for _, ev := range events {
-		s.take(ev)
+		s.handleEvent(ev)
 	}
-	s.subscribe()
-	s.endHopeless()
-	s.cutLong()
+	s.requestList()
+	s.endExpiring()
+	s.cutOffLongCalls()
 	s.dispatch()
-	s.shut()
-	s.arm()
-	return s.out
+	s.refuseBeforeStop()
+	s.armTimer()
+	return s.actions
 }
--- a/logic/membership_test.go
+++ b/logic/membership_test.go
@@ -5,15 +5,15 @@
 // Where an agent pushes the list, sends go on for the drain's grace after a watch has ended, less the time that a sender
 // may be held up, and stop then until the next news: unless the agent says nothing, which has lost discovery. A start
 // sends nothing before its first answer, or half of a message's time.
-func TestPushedListIsALease(t *testing.T) {
+func TestPushedListIsUsedForTheDrainGrace(t *testing.T) {
 	const grace = Second
-	lease := seconds(grace - heldUp)
-	watched, silent := Endpoints{Form: ListWatched}, Endpoints{Form: ListFailed, Silent: true}
-	failed, unusable, begun := Endpoints{Form: ListFailed}, Endpoints{Form: ListUnusable}, Endpoints{Form: ListBegun}
-	news := Endpoints{Form: ListDelta}
+	lease := seconds(grace - maxProcessingDelay)
+	watched, silent := ListUpdate{Form: ListWatchOpen}, ListUpdate{Form: ListRequestFailed, Unresponsive: true}
+	failed, unusable, begun := ListUpdate{Form: ListRequestFailed}, ListUpdate{Form: ListAnswerUnusable}, ListUpdate{Form: ListAnswerBegun}
+	news := ListUpdate{Form: ListDelta}
 	type at struct {
 		t  float64
-		ev Endpoints
+		ev ListUpdate
 	}
 	for name, x := range map[string]struct {
 		start bool // on a list that is as it was before the start
@@ -38,48 +38,48 @@
 		"a start, nobody answers":              {true, []at{{0.3, silent}, {0.7, silent}}, 2, false},
 		"a start, answered with no use":        {true, []at{{0.3, unusable}, {0.7, failed}}, 9, false},
 	} {
-		set := base()
-		set.Pushed, set.DrainGrace = true, grace
-		r := newRig(t, set)
-		first := list(1)
-		first.Form, first.Old = ListCached, x.start
+		set := baseSettings()
+		set.ListPushed, set.DrainGrace = true, grace
+		r := newHarness(t, set)
+		first := fullList(1)
+		first.Form, first.Stale = ListCached, x.start
 		r.step(0, first)
 		for _, e := range x.evs {
 			r.step(e.t, e.ev)
 		}
-		if n := len(only[CallOut](r.step(x.at, r.call(0)))); (n == 1) != x.sent {
+		if n := len(actionsOf[CallOut](r.step(x.at, r.newMessage(0)))); (n == 1) != x.sent {
 			t.Errorf("%s: %d sends at %.2f, want %v", name, n, x.at, x.sent)
 		}
 	}
 }
 
-// startOnSavedList is a sender with a grace of a second that starts on a list that may be old, where an agent pushes it.
-func startOnSavedList(t *testing.T) *rig {
-	set := base()
-	set.Pushed, set.DrainGrace = true, Second
-	r := newRig(t, set)
-	first := list(1)
-	first.Form, first.Old = ListCached, true
+// newSavedListHarness is a sender with a grace of a second that starts on a list that may be old, where an agent pushes it.
+func newSavedListHarness(t *testing.T) *harness {
+	set := baseSettings()
+	set.ListPushed, set.DrainGrace = true, Second
+	r := newHarness(t, set)
+	first := fullList(1)
+	first.Form, first.Stale = ListCached, true
 	r.step(0, first)
 	return r
 }
 
 // A message waits for an agent that is silent at a start for half of its time, and for one whose answers are of no use for
 // as long as they come.
-func TestStartWaitsForTheAgent(t *testing.T) {
+func TestStartWaitsForTheAgentsAnswer(t *testing.T) {
 	for _, x := range []struct {
-		ev   Endpoints
+		ev   ListUpdate
 		half bool
-	}{{Endpoints{Form: ListFailed, Silent: true}, true}, {Endpoints{Form: ListUnusable}, false}} {
-		r := startOnSavedList(t)
-		c := r.call(0)
-		c.Left = 8 * Second
+	}{{ListUpdate{Form: ListRequestFailed, Unresponsive: true}, true}, {ListUpdate{Form: ListAnswerUnusable}, false}} {
+		r := newSavedListHarness(t)
+		c := r.newMessage(0)
+		c.TimeLeft = 8 * Second
 		r.step(0.1, c)
 		r.step(0.3, x.ev)
-		if n := len(only[CallOut](r.step(3))); n != 0 {
+		if n := len(actionsOf[CallOut](r.step(3))); n != 0 {
 			t.Errorf("%+v: sent before half of its time", x.ev)
 		}
-		if n := len(only[CallOut](r.step(4.2))); (n == 1) != x.half {
+		if n := len(actionsOf[CallOut](r.step(4.2))); (n == 1) != x.half {
 			t.Errorf("%+v: %d sends after half of its time", x.ev, n)
 		}
 	}
@@ -92,14 +92,14 @@
 		answer bool
 		sent   bool
 	}{{0.12, false, false}, {0.12, true, true}, {0.25, false, false}} {
-		r := startOnSavedList(t)
-		c := r.call(0)
-		c.Left = Second / 5
-		sent := len(only[CallOut](r.step(0.01, c)))
+		r := newSavedListHarness(t)
+		c := r.newMessage(0)
+		c.TimeLeft = Second / 5
+		sent := len(actionsOf[CallOut](r.step(0.01, c)))
 		if x.answer {
-			sent += len(only[CallOut](r.step(0.02, Endpoints{Form: ListDelta})))
+			sent += len(actionsOf[CallOut](r.step(0.02, ListUpdate{Form: ListDelta})))
 		}
-		sent += len(only[CallOut](r.step(x.at)))
+		sent += len(actionsOf[CallOut](r.step(x.at)))
 		if (sent == 1) != x.sent {
 			t.Errorf("%+v: %d sends", x, sent)
 		}
@@ -107,22 +107,22 @@
 }
 
 // A stop told in the middle of a start had messages sent on the saved list before the agent's first answer.
-func TestStopInAStartWaitsForTheAgent(t *testing.T) {
+func TestStopDuringStartWaitsForTheAgent(t *testing.T) {
 	for _, x := range []struct {
-		ev   Endpoints
+		ev   ListUpdate
 		half bool // sent after half of its time
-	}{{Endpoints{Form: ListFailed, Silent: true}, true}, {Endpoints{Form: ListBegun}, false}} {
-		r := startOnSavedList(t)
-		c := r.call(0)
-		c.Left = 2 * Second
+	}{{ListUpdate{Form: ListRequestFailed, Unresponsive: true}, true}, {ListUpdate{Form: ListAnswerBegun}, false}} {
+		r := newSavedListHarness(t)
+		c := r.newMessage(0)
+		c.TimeLeft = 2 * Second
 		r.step(0.1, c)
-		if n := len(only[CallOut](r.step(0.15, Closing{Left: 3200_000}))); n != 0 {
+		if n := len(actionsOf[CallOut](r.step(0.15, Stopping{TimeLeft: 3200_000}))); n != 0 {
 			t.Errorf("%+v: sent at the stop", x.ev)
 		}
-		if n := len(only[CallOut](r.step(0.3, x.ev))); n != 0 {
+		if n := len(actionsOf[CallOut](r.step(0.3, x.ev))); n != 0 {
 			t.Errorf("%+v: sent before half of its time", x.ev)
 		}
-		if n := len(only[CallOut](r.step(1.2))); (n == 1) != x.half {
+		if n := len(actionsOf[CallOut](r.step(1.2))); (n == 1) != x.half {
 			t.Errorf("%+v: %d sends after half of its time", x.ev, n)
 		}
 	}
@@ -130,27 +130,27 @@
 
 // A process that takes over has no watch yet: the list is good for the grace from then on. An agent that is silent has
 // lost discovery, for it as for the one before.
-func TestTakeoverBeginsTheLeaseAnew(t *testing.T) {
+func TestTakeoverRestartsTheLease(t *testing.T) {
 	for _, x := range []struct {
 		at     float64
 		silent bool
 		sent   bool
 	}{{20.5, false, true}, {21, false, false}, {21, true, true}} {
-		set := base()
-		set.Pushed, set.DrainGrace = true, Second
-		r := newRig(t, set)
-		r.step(0, list(1))
-		r.step(0.1, Endpoints{Form: ListWatched})
+		set := baseSettings()
+		set.ListPushed, set.DrainGrace = true, Second
+		r := newHarness(t, set)
+		r.step(0, fullList(1))
+		r.step(0.1, ListUpdate{Form: ListWatchOpen})
 		r.step(20)
-		s, err := Resume(set, 7, r.s.Save())
+		s, err := Resume(set, 7, r.sender.Save())
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.s = s
+		r.sender = s
 		if x.silent {
-			r.step(20.4, Endpoints{Form: ListFailed, Silent: true})
+			r.step(20.4, ListUpdate{Form: ListRequestFailed, Unresponsive: true})
 		}
-		if n := len(only[CallOut](r.step(x.at, r.call(0)))); (n == 1) != x.sent {
+		if n := len(actionsOf[CallOut](r.step(x.at, r.newMessage(0)))); (n == 1) != x.sent {
 			t.Errorf("%+v: %d sends", x, n)
 		}
 	}
--- a/logic/restart_time.go
+++ b/logic/restart_time.go
@@ -7,21 +7,23 @@
 )
 
 const (
-	halfLife   = 30 * Second // design: half-life of the latency histograms
-	binBase    = 2000        // ours: upper edge of the first bin, microseconds
-	binRatio   = 1.25        // ours: each edge over the one before; finer bins need more samples
-	binCount   = 48          // ours: the last edge lies near 70 s
-	tauWeight  = 12.0        // ours: samples before τ is; an early τ cuts healthy calls
-	tauGain    = 0.85        // ours: ⟨t⟩ at τ must be under this part of ⟨t⟩ of waiting; noise reaches 0.9
-	maxCuts    = 2           // ours: restarts of one message; each doubles the next limit
-	stuckTimes = 2.0         // ours: a call is stuck past this many times the 95th percentile ...
-	stuckLeast = Second / 2  // ours: ... and this
-	patience   = 2           // ours: a stuck call is called off past this many times the time that made it so
-	stuckBlind = 2 * Second  // ours: where no latency is known yet
+	histogramHalfLife  = 30 * Second // design: half-life of the latency histograms
+	firstBinEdgeMicros = 2000        // ours: upper edge of the first bin, microseconds
+	binRatio           = 1.25        // ours: each edge over the one before; finer bins need more samples
+	binCount           = 48          // ours: the last edge lies near 70 s
+	minTauSamples      = 12.0        // ours: samples before τ is; an early τ cuts healthy calls
+	// ours: ⟨t⟩ at τ must be under this part of ⟨t⟩ of waiting; noise reaches 0.9
+	maxTauRatio      = 0.85
+	maxCutOffs       = 2          // ours: restarts of one message; each doubles the next limit
+	stuckP95Multiple = 2.0        // ours: a call is stuck past this many times the 95th percentile ...
+	minStuckAfter    = Second / 2 // ours: ... and this
+	// ours: a stuck call is called off past this many times the time that made it so
+	stuckCancelMultiple = 2
+	defaultStuckAfter   = 2 * Second // ours: where no latency is known yet
 )
 
-var edges = func() (e [binCount]Micros) {
-	x := float64(binBase)
+var binEdges = func() (e [binCount]Micros) {
+	x := float64(firstBinEdgeMicros)
 	for i := range e {
 		e[i] = Micros(x)
 		x *= binRatio
@@ -29,32 +31,33 @@
 	return e
 }()
 
-func (h *hist) add(now, took Micros, cut bool) {
-	f := math.Exp2(-float64(now-h.at) / float64(halfLife))
-	h.at = now
-	h.bins.fade(f)
-	h.total, h.cuts = h.total*f, h.cuts*f
+func (h *histogram) add(now, took Micros, cut bool) {
+	f := math.Exp2(-float64(now-h.updatedAt) / float64(histogramHalfLife))
+	h.updatedAt = now
+	h.bins.discount(f)
+	h.total, h.cutOffs = h.total*f, h.cutOffs*f
 	if cut {
-		h.cuts++
+		h.cutOffs++
 	} else {
-		h.put(bin(took))
+		h.addSample(binIndex(took))
 		h.total++
 	}
-	h.update()
+	h.recompute()
 }
 
-// update finds τ, the edge with the least mean time to an answer under unlimited restarts, and percentiles.
-func (h *hist) update() {
+// recompute finds τ, the edge with the least mean time to an answer under unlimited restarts, and
+// percentiles.
+func (h *histogram) recompute() {
 	h.tau, h.median, h.p95 = 0, 0, 0
-	all := h.total + max(h.cuts, 0)
+	all := h.total + max(h.cutOffs, 0)
 	var m0, m1 float64
 	best, bestAt, wait := math.Inf(1), Micros(0), math.Inf(1)
-	for i, edge := range edges {
+	for i, edge := range binEdges {
 		low := Micros(0)
 		if i > 0 {
-			low = edges[i-1]
+			low = binEdges[i-1]
 		}
-		w := h.bins.at(i)
+		w := h.bins.weight(i)
 		m0 += w
 		m1 += w * float64(low+edge) / 2
 		if h.median == 0 && m0 >= h.total/2 {
@@ -72,102 +75,102 @@
 			best, bestAt = wait, edge
 		}
 	}
-	if h.total >= tauWeight && best < tauGain*wait {
+	if h.total >= minTauSamples && best < maxTauRatio*wait {
 		h.tau = bestAt
 	}
 }
 
 // stuckAfter is the time after which an unanswered call speaks for an outage.
-func (s *Sender) stuckAfter(d *dest, m *msg) Micros {
-	h := &d.hist
-	if h.total < minWeight {
-		h = &s.byClass[m.ci]
+func (s *Sender) stuckAfter(d *destination, m *message) Micros {
+	h := &d.histogram
+	if h.total < minSamples {
+		h = &s.classHistograms[m.classIndex]
 	}
-	if h.total < minWeight {
-		return stuckBlind
+	if h.total < minSamples {
+		return defaultStuckAfter
 	}
-	return max(Micros(stuckTimes*float64(h.p95)), 3*h.median, stuckLeast)
+	return max(Micros(stuckP95Multiple*float64(h.p95)), 3*h.median, minStuckAfter)
 }
 
-// cutLong calls off attempts at τ, and those that hang at an endpoint that answers nothing.
-func (s *Sender) cutLong() {
+// cutOffLongCalls calls off attempts at τ, and those that hang at an endpoint that answers nothing.
+func (s *Sender) cutOffLongCalls() {
 	var oldest *attempt
-	for _, a := range s.flying {
-		if a.cancelled || a.m.flows {
+	for _, a := range s.attempts {
+		if a.cancelled || a.message.streaming {
 			continue
 		}
-		e, age := a.ep, s.now-a.at
-		stuck := s.stuckAfter(e.dest, a.m)
-		if !a.stuck && e.lastOK < a.at {
+		e, age := a.endpoint, s.now-a.sentAt
+		stuck := s.stuckAfter(e.destination, a.message)
+		if !a.stuck && e.lastSuccessAt < a.sentAt {
 			if a.stuck = age > stuck; a.stuck {
 				// No outcome yet, so nothing is known to have failed: hold back, but set no budget.
-				s.suspect(e, "silent")
-				s.proves(e)
+				s.eject(e, "silent")
+				s.markSiblingsHealthy(e)
 			}
 		}
-		if !a.late && age > patience*stuck {
+		if !a.countedLate && age > stuckCancelMultiple*stuck {
 			// Ours: a call still out past what is usual counts as lasting past τ until it answers. Else lost
 			// answers, with all others quick, never show in the histogram and hold slots to their deadline.
-			a.late = true
-			e.dest.hist.add(s.now, age, true)
-			s.byClass[a.m.ci].add(s.now, age, true)
+			a.countedLate = true
+			e.destination.histogram.add(s.now, age, true)
+			s.classHistograms[a.message.classIndex].add(s.now, age, true)
 		}
-		if age <= patience*stuck {
-			s.at(a.at + 1 + stuck*Micros(1+min(age/max(stuck, 1), patience-1)))
+		if age <= stuckCancelMultiple*stuck {
+			s.wakeBy(a.sentAt + 1 + stuck*Micros(1+min(age/max(stuck, 1), stuckCancelMultiple-1)))
 		}
-		if a.m.over || !s.set.MayCancel {
+		if a.message.ended || !s.settings.MayCancel {
 			continue
 		}
-		if a.m.class.Effect == Unsafe {
-			if age > patience*stuck && (oldest == nil || a.at < oldest.at) {
+		if a.message.class.Effect == Unsafe {
+			if age > stuckCancelMultiple*stuck && (oldest == nil || a.sentAt < oldest.sentAt) {
 				oldest = a
 			}
 			continue
 		}
-		long := stuck << a.m.cuts
-		if a.stuck && e.suspect && (age > patience*long || age > long && s.elsewhere(e)) {
-			a.m.cuts = min(a.m.cuts+1, maxCuts)
-			s.cancel(a)
+		long := stuck << a.message.cutOffs
+		if a.stuck && e.ejected && (age > stuckCancelMultiple*long || age > long && s.hasHealthySibling(e)) {
+			a.message.cutOffs = min(a.message.cutOffs+1, maxCutOffs)
+			s.cancelAttempt(a)
 			continue
 		}
-		h := &e.dest.hist
-		if h.total < tauWeight {
-			h = &s.byClass[a.m.ci]
+		h := &e.destination.histogram
+		if h.total < minTauSamples {
+			h = &s.classHistograms[a.message.classIndex]
 		}
-		if h.tau > 0 && s.mayRestart(a) {
-			limit := max(h.tau<<a.m.cuts, long)
+		if h.tau > 0 && s.mayCutOff(a) {
+			limit := max(h.tau<<a.message.cutOffs, long)
 			if age > limit {
-				a.cut = true
-				a.m.cuts++
-				s.cancel(a)
+				a.cutOff = true
+				a.message.cutOffs++
+				s.cancelAttempt(a)
 			} else {
-				s.at(a.at + limit + 1)
+				s.wakeBy(a.sentAt + limit + 1)
 			}
 		}
 	}
 	// An unsafe call cannot be sent again, so it may wait; but not with the last slot, while others could go.
-	if oldest != nil && s.busy >= s.set.Slots && s.set.Slots > 0 {
-		for _, m := range s.held {
-			if m.out == nil && m.dest != oldest.m.dest {
-				s.cancel(oldest)
+	if oldest != nil && s.slotsInUse >= s.settings.Slots && s.settings.Slots > 0 {
+		for _, m := range s.openMessages {
+			if m.attempt == nil && m.destination != oldest.message.destination {
+				s.cancelAttempt(oldest)
 				break
 			}
 		}
 	}
 }
 
-// mayRestart: a restart must have attempts and time left, and must not add to the load of a destination that
+// mayCutOff: a restart must have attempts and time left, and must not add to the load of a destination that
 // refuses or recovers, unless the call holds one of the last slots.
-func (s *Sender) mayRestart(a *attempt) bool {
-	m, e := a.m, a.ep
-	if m.cuts >= maxCuts || s.set.MaxTries > 0 && m.tries >= s.set.MaxTries {
+func (s *Sender) mayCutOff(a *attempt) bool {
+	m, e := a.message, a.endpoint
+	if m.cutOffs >= maxCutOffs || s.settings.MaxTries > 0 && m.tries >= s.settings.MaxTries {
 		return false
 	}
-	if s.busy < s.set.Slots && (e.lane.pace > 0 || e.cold) {
+	if s.slotsInUse < s.settings.Slots && (e.limiter.pace > 0 || e.recovering) {
 		return false
 	}
-	if m.class.Effect == Keyed && s.now > m.firstMay+m.class.Window-Second {
+	if m.class.Effect == Keyed && s.now > m.firstMayHaveRunAt+m.class.Window-Second {
 		return false
 	}
-	return m.deadline-s.now > 2*max(s.usual(m), e.dest.hist.tau)
+	return m.deadline-s.now > 2*max(s.usualLatency(m), e.destination.histogram.tau)
 }
--- a/logic/rig_test.go
+++ b/logic/rig_test.go
@@ -7,56 +7,59 @@
 	"testing"
 )
 
-// base is a plain deployment: two senders, one safe, one keyed and one unsafe class, one kind of destination.
-func base() Settings {
-	return Settings{Senders: 2, Zones: 1, Slots: 8, MaxOpen: 60, MaxTries: 6, Tick: 5000, MayCancel: true, RetryAfter: true,
+// baseSettings is a plain deployment: two senders, one safe, one keyed and one unsafe class, one kind of destination.
+func baseSettings() Settings {
+	return Settings{Senders: 2, Zones: 1, Slots: 8, MaxOpen: 60, MaxTries: 6, Tick: 5000, MayCancel: true, AdviseRetry: true,
 		Classes: []Class{
 			{Name: "a", Aim: Second, Deadline: 10 * Second, Worth: 1, LateWorth: 0.5},
 			{Name: "b", Aim: 2 * Second, Deadline: 12 * Second, Worth: 2, LateWorth: 0.4, Effect: Keyed, Window: 8 * Second},
 			{Name: "c", Aim: 2 * Second, Deadline: 14 * Second, Worth: 4, LateWorth: 0.3, Effect: Unsafe}},
 		Kinds: []Kind{{Name: "k", Batch: 1}}, MaxRetryAfter: 2 * Second, DrainGrace: Second, FallMultiple: 2,
-		FallWindow: 2 * Second, ColdFrom: 0.2, WarmAfter: 14 * Second, ReportLeft: -1, ReportLimit: -1}
+		FallWindow: 2 * Second, ColdFrom: 0.2, WarmAfter: 14 * Second, LimitLeftIndex: -1, LimitIndex: -1}
 }
 
-// rig drives one Sender by hand.
-type rig struct {
-	t *testing.T
-	s *Sender
-	n int
+// harness drives one Sender by hand.
+type harness struct {
+	t            *testing.T
+	sender       *Sender
+	messageCount int
 }
 
-func newRig(t *testing.T, set Settings) *rig {
+func newHarness(t *testing.T, set Settings) *harness {
 	t.Helper()
 	s, err := New(set, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &rig{t: t, s: s}
+	return &harness{t: t, sender: s}
 }
 
-func sec(x float64) Micros { return Micros(x * float64(Second)) }
+func fromSeconds(x float64) Micros { return Micros(x * float64(Second)) }
 
-func (r *rig) step(at float64, evs ...Event) []Action { r.t.Helper(); return r.s.Step(sec(at), evs) }
+func (r *harness) step(at float64, evs ...Event) []Action {
+	r.t.Helper()
+	return r.sender.Step(fromSeconds(at), evs)
+}
 
-// list makes a whole list of n endpoints, from 1 on, of destination 9.
-func list(n int) Endpoints {
-	ev := Endpoints{Form: ListFull}
+// fullList makes a whole list of n endpoints, from 1 on, of destination 9.
+func fullList(n int) ListUpdate {
+	ev := ListUpdate{Form: ListFull}
 	for i := 1; i <= n; i++ {
-		ev.Entries = append(ev.Entries, Entry{Endpoint: EndpointID(i), Dest: 9})
+		ev.Entries = append(ev.Entries, Entry{Endpoint: EndpointID(i), Destination: 9})
 	}
 	return ev
 }
 
-func (r *rig) call(class int) Call {
-	r.n++
-	return Call{ID: fmt.Sprintf("m%d", r.n), Left: r.s.set.Classes[class].Deadline, Dest: 9, Tenant: -1, Class: class}
+func (r *harness) newMessage(class int) NewMessage {
+	r.messageCount++
+	return NewMessage{ID: fmt.Sprintf("m%d", r.messageCount), TimeLeft: r.sender.settings.Classes[class].Deadline, Destination: 9, Tenant: -1, Class: class}
 }
 
-func answer(id string, ep EndpointID, attempt int, o Outcome) Reply {
-	return Reply{ID: id, Endpoint: ep, Attempt: attempt, Outcome: o, Took: sec(0.1), NoMore: o == Completed}
+func resultOf(id string, ep EndpointID, attempt int, o Outcome) AttemptResult {
+	return AttemptResult{ID: id, Endpoint: ep, Attempt: attempt, Outcome: o, Duration: fromSeconds(0.1), MessageEnded: o == Completed}
 }
 
-func only[T Action](acts []Action) (out []T) {
+func actionsOf[T Action](acts []Action) (out []T) {
 	for _, a := range acts {
 		if x, ok := a.(T); ok {
 			out = append(out, x)
@@ -65,103 +68,103 @@
 	return out
 }
 
-// world plays random legal outcomes against a Sender and asserts the six rules. It models no server.
-type world struct {
-	t        *testing.T
-	set      Settings
-	rnd      *rand.Rand
-	s        *Sender
-	now      Micros
-	msgs     map[string]*wmsg
-	ids      []string
-	live     []*wmsg
-	eps      map[EndpointID]*wep
-	order    []EndpointID
-	queue    []wevent
-	waits    map[string]Micros
-	asked    map[EndpointID]int
-	keys     map[string][]*wmsg
-	quiet    map[string]Micros
-	quietBy  map[string]*wmsg
-	slots    int
-	outage   [2]Micros // all of destination 1 refuses connections
-	knows    bool
-	coldSent []Micros
-	wellSent []Micros
-	peak     float64
-	trace    []string
-	swap     Micros // mean time between two senders that go on for each other; 0 for one sender all day
-	swaps    int
+// ruleChecker plays random legal outcomes against a Sender and asserts the six rules. It models no server.
+type ruleChecker struct {
+	t                   *testing.T
+	settings            Settings
+	rnd                 *rand.Rand
+	sender              *Sender
+	now                 Micros
+	messages            map[string]*ruleMessage
+	messageIDs          []string
+	openMessages        []*ruleMessage
+	endpoints           map[EndpointID]*ruleEndpoint
+	endpointIDs         []EndpointID
+	pending             []ruleEvent
+	waitUntil           map[string]Micros
+	asked               map[EndpointID]int
+	byOrderKey          map[string][]*ruleMessage
+	quietUntil          map[string]Micros
+	quietOwner          map[string]*ruleMessage
+	slotsInUse          int
+	outage              [2]Micros // all of destination 1 refuses connections
+	outageSeen          bool
+	sentWhileRecovering []Micros
+	sentBeforeOutage    []Micros
+	peakRate            float64
+	trace               []string
+	handoverInterval    Micros // mean time between two senders that go on for each other; 0 for one sender all day
+	handovers           int
 }
 
-type wmsg struct {
-	id         string
-	class      Class
-	dest       int64
-	key        string
-	deadline   Micros
-	ended, out bool
-	mayRun     bool
-	firstMay   Micros
-	zone       int
-	tries      int
+type ruleMessage struct {
+	id                string
+	class             Class
+	destination       int64
+	key               string
+	deadline          Micros
+	ended, inFlight   bool
+	mayHaveRun        bool
+	firstMayHaveRunAt Micros
+	mayHaveRunZone    int
+	tries             int
 }
 
-type wep struct {
-	row    Entry
-	told   Micros // when it was told to drain or go
-	closed bool
+type ruleEndpoint struct {
+	entry    Entry
+	closedAt Micros // when it was told to drain or go
+	closed   bool
 }
 
-type wevent struct {
-	at  Micros
-	ev  Event
-	own *wmsg
-	cl  *wcall
+type ruleEvent struct {
+	at      Micros
+	event   Event
+	message *ruleMessage
+	call    *ruleCall
 }
 
-type wcall struct{ open int }
+type ruleCall struct{ pending int }
 
-func (w *world) lane(e *wep) string {
-	if w.set.Kinds[e.row.Kind].Apart {
-		return fmt.Sprint("route", e.row.Endpoint)
+func (w *ruleChecker) limiterKey(e *ruleEndpoint) string {
+	if w.settings.Kinds[e.entry.Kind].SeparateRoutes {
+		return fmt.Sprint("route", e.entry.Endpoint)
 	}
-	return fmt.Sprint("dest", e.row.Dest)
+	return fmt.Sprint("dest", e.entry.Destination)
 }
 
-func (w *world) bad(format string, args ...any) {
+func (w *ruleChecker) fatalf(format string, args ...any) {
 	w.t.Helper()
 	w.t.Fatalf("at %d: "+format, append([]any{w.now}, args...)...)
 }
 
-func newWorld(t *testing.T, set Settings, seed uint64) *world {
+func newRuleChecker(t *testing.T, set Settings, seed uint64) *ruleChecker {
 	s, err := New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &world{t: t, set: set, rnd: rand.New(rand.NewPCG(seed, 1)), s: s, msgs: map[string]*wmsg{},
-		eps: map[EndpointID]*wep{}, waits: map[string]Micros{}, asked: map[EndpointID]int{},
-		keys: map[string][]*wmsg{}, quiet: map[string]Micros{}, quietBy: map[string]*wmsg{},
+	return &ruleChecker{t: t, settings: set, rnd: rand.New(rand.NewPCG(seed, 1)), sender: s, messages: map[string]*ruleMessage{},
+		endpoints: map[EndpointID]*ruleEndpoint{}, waitUntil: map[string]Micros{}, asked: map[EndpointID]int{},
+		byOrderKey: map[string][]*ruleMessage{}, quietUntil: map[string]Micros{}, quietOwner: map[string]*ruleMessage{},
 		outage: [2]Micros{12 * Second, 20 * Second}}
 }
 
 // play runs 40 seconds of random traffic.
-func (w *world) play() {
-	var first Endpoints
+func (w *ruleChecker) play() {
+	var first ListUpdate
 	first.Form = ListCached
 	for i := 0; i < 8; i++ {
-		row := Entry{Endpoint: EndpointID(100 + i), Dest: int64(1 + i/2), Kind: (i / 2) % len(w.set.Kinds),
-			Zone: i % max(w.set.Zones, 1), Nominal: 6}
-		w.eps[row.Endpoint] = &wep{row: row}
-		w.order = append(w.order, row.Endpoint)
+		row := Entry{Endpoint: EndpointID(100 + i), Destination: int64(1 + i/2), Kind: (i / 2) % len(w.settings.Kinds),
+			Zone: i % max(w.settings.Zones, 1), Nominal: 6}
+		w.endpoints[row.Endpoint] = &ruleEndpoint{entry: row}
+		w.endpointIDs = append(w.endpointIDs, row.Endpoint)
 		first.Entries = append(first.Entries, row)
 	}
-	w.run(first)
+	w.step(first)
 	next := Micros(0)
 	for w.now < 60*Second {
-		w.now += w.set.Tick
+		w.now += w.settings.Tick
 		var evs []Event
-		evs = append(evs, w.due()...)
+		evs = append(evs, w.takeDue()...)
 		if w.now < 40*Second && w.now >= next {
 			next = w.now + Micros(w.rnd.IntN(150_000))
 			evs = append(evs, w.arrival())
@@ -172,115 +175,115 @@
 			}
 		}
 		if w.rnd.IntN(1500) == 0 {
-			evs = append(evs, w.change())
+			evs = append(evs, w.listChange())
 		}
-		if w.rnd.IntN(900) == 0 && len(w.ids) > 0 {
-			m := w.msgs[w.ids[w.rnd.IntN(len(w.ids))]]
+		if w.rnd.IntN(900) == 0 && len(w.messageIDs) > 0 {
+			m := w.messages[w.messageIDs[w.rnd.IntN(len(w.messageIDs))]]
 			m.ended = true // withdrawn, or ended long ago
-			evs = append(evs, ClientGone{m.id}, ClientGone{"nobody"}, Due{3})
+			evs = append(evs, ClientGone{m.id}, ClientGone{"nobody"}, TimerExpired{3})
 		}
 		if len(evs) > 0 {
-			w.run(evs...)
+			w.step(evs...)
 		}
-		if w.swap > 0 && w.now%w.swap < w.set.Tick {
-			w.replace()
+		if w.handoverInterval > 0 && w.now%w.handoverInterval < w.settings.Tick {
+			w.handOver()
 		}
-		w.live = slices.DeleteFunc(w.live, func(m *wmsg) bool { return m.ended })
-		for _, m := range w.live {
+		w.openMessages = slices.DeleteFunc(w.openMessages, func(m *ruleMessage) bool { return m.ended })
+		for _, m := range w.openMessages {
 			if w.now > m.deadline {
-				w.bad("message %s of class %s has no answer at its deadline", m.id, m.class.Name)
+				w.fatalf("message %s of class %s has no answer at its deadline", m.id, m.class.Name)
 			}
 		}
 	}
 }
 
-func (w *world) arrival() Event {
-	ci := w.rnd.IntN(len(w.set.Classes))
-	c := w.set.Classes[ci]
-	m := &wmsg{id: fmt.Sprint("r", len(w.ids)), class: c, dest: int64(1 + w.rnd.IntN(5))}
+func (w *ruleChecker) arrival() Event {
+	ci := w.rnd.IntN(len(w.settings.Classes))
+	c := w.settings.Classes[ci]
+	m := &ruleMessage{id: fmt.Sprint("r", len(w.messageIDs)), class: c, destination: int64(1 + w.rnd.IntN(5))}
 	left := c.Deadline
 	if w.rnd.IntN(5) == 0 {
 		left = c.Deadline / 3
 	}
 	if c.KeepOrder {
 		m.key = fmt.Sprint("k", w.rnd.IntN(4))
-		w.keys[m.key] = append(w.keys[m.key], m)
+		w.byOrderKey[m.key] = append(w.byOrderKey[m.key], m)
 	}
 	m.deadline = w.now + left
-	w.msgs[m.id] = m
-	w.ids = append(w.ids, m.id)
-	w.live = append(w.live, m)
+	w.messages[m.id] = m
+	w.messageIDs = append(w.messageIDs, m.id)
+	w.openMessages = append(w.openMessages, m)
 	tenant := -1
-	if n := len(w.set.Tenants); n > 0 {
+	if n := len(w.settings.Tenants); n > 0 {
 		tenant = w.rnd.IntN(n)
 	}
-	return Call{ID: m.id, Left: left, Key: m.key, Dest: m.dest, Tenant: tenant, Class: ci}
+	return NewMessage{ID: m.id, TimeLeft: left, Key: m.key, Destination: m.destination, Tenant: tenant, Class: ci}
 }
 
-// change drains, removes or adds an endpoint.
-func (w *world) change() Event {
-	id := w.order[w.rnd.IntN(len(w.order))]
-	e := w.eps[id]
-	row := e.row
+// listChange drains, removes or adds an endpoint.
+func (w *ruleChecker) listChange() Event {
+	id := w.endpointIDs[w.rnd.IntN(len(w.endpointIDs))]
+	e := w.endpoints[id]
+	row := e.entry
 	switch w.rnd.IntN(3) {
 	case 0:
 		row.State = Draining
 	case 1:
-		row.State = Gone
+		row.State = Removed
 	}
 	if row.State == Ready {
 		e.closed = false
 	} else if !e.closed {
-		e.closed, e.told = true, w.now
+		e.closed, e.closedAt = true, w.now
 	}
-	return Endpoints{Form: ListDelta, Entries: []Entry{row}}
+	return ListUpdate{Form: ListDelta, Entries: []Entry{row}}
 }
 
-func (w *world) due() (evs []Event) {
-	var rest []wevent
-	for _, q := range w.queue {
+func (w *ruleChecker) takeDue() (evs []Event) {
+	var rest []ruleEvent
+	for _, q := range w.pending {
 		if q.at > w.now {
 			rest = append(rest, q)
 			continue
 		}
-		if r, ok := q.ev.(Reply); ok {
-			q.ev = w.land(r, q.own, q.cl)
+		if r, ok := q.event.(AttemptResult); ok {
+			q.event = w.finishAttempt(r, q.message, q.call)
 		}
-		evs = append(evs, q.ev)
+		evs = append(evs, q.event)
 	}
-	w.queue = rest
+	w.pending = rest
 	return evs
 }
 
-// land applies the outcome of an attempt to what the rules know.
-func (w *world) land(r Reply, m *wmsg, c *wcall) Reply {
-	if c.open--; c.open == 0 {
-		w.slots--
+// finishAttempt applies the outcome of an attempt to what the rules know.
+func (w *ruleChecker) finishAttempt(r AttemptResult, m *ruleMessage, c *ruleCall) AttemptResult {
+	if c.pending--; c.pending == 0 {
+		w.slotsInUse--
 	}
-	m.out = false
-	if r.Outcome != Full && r.Outcome != RefusedConn && r.Outcome != Moot {
-		m.mayRun = true
+	m.inFlight = false
+	if r.Outcome != Rejected && r.Outcome != ConnRefused && r.Outcome != NotSent {
+		m.mayHaveRun = true
 	}
 	if r.Outcome == Completed {
 		m.ended = true
 	}
-	r.NoMore = m.ended
-	if m.key != "" && (r.Outcome == Overdue || r.Outcome == Severed || r.Outcome == Recalled) {
-		w.quiet[m.key], w.quietBy[m.key] = w.now+w.set.KeyQuiet, m
+	r.MessageEnded = m.ended
+	if m.key != "" && (r.Outcome == TimedOut || r.Outcome == ConnBroken || r.Outcome == Cancelled) {
+		w.quietUntil[m.key], w.quietOwner[m.key] = w.now+w.settings.KeyQuiet, m
 	}
-	e := w.eps[r.Endpoint]
-	if r.Wait > 0 {
-		w.waits[w.lane(e)] = max(w.waits[w.lane(e)], w.now+r.Wait)
+	e := w.endpoints[r.Endpoint]
+	if r.RetryAfter > 0 {
+		w.waitUntil[w.limiterKey(e)] = max(w.waitUntil[w.limiterKey(e)], w.now+r.RetryAfter)
 	}
-	if e.row.Dest == 1 && w.now > w.outage[0] && w.now < w.outage[1] && r.Outcome == RefusedConn {
-		w.knows = true
+	if e.entry.Destination == 1 && w.now > w.outage[0] && w.now < w.outage[1] && r.Outcome == ConnRefused {
+		w.outageSeen = true
 	}
 	return r
 }
 
-func (w *world) outcome(e *wep) (Outcome, Micros, Micros) {
-	if e.row.Dest == 1 && w.now > w.outage[0] && w.now < w.outage[1] {
-		return RefusedConn, 20_000, 0
+func (w *ruleChecker) outcome(e *ruleEndpoint) (Outcome, Micros, Micros) {
+	if e.entry.Destination == 1 && w.now > w.outage[0] && w.now < w.outage[1] {
+		return ConnRefused, 20_000, 0
 	}
 	took := Micros(20_000 + w.rnd.IntN(300_000))
 	switch x := w.rnd.IntN(100); {
@@ -289,170 +292,170 @@
 	case x < 76:
 		return Errored, took, 0
 	case x < 80:
-		return Severed, took, 0
+		return ConnBroken, took, 0
 	case x < 84:
-		return RefusedConn, took, 0
+		return ConnRefused, took, 0
 	case x < 94:
 		wait := Micros(0)
 		if w.rnd.IntN(2) == 0 {
 			wait = Micros(w.rnd.IntN(3_000_000))
 		}
-		return Full, 20_000, wait
+		return Rejected, 20_000, wait
 	}
-	return Overdue, never, 0 // silent: ends when given up or called off
+	return TimedOut, never, 0 // silent: ends when given up or called off
 }
 
-// run makes one step and checks all its actions.
-func (w *world) run(evs ...Event) {
-	opened := map[EndpointID]*wcall{}
+// step makes one step and checks all its actions.
+func (w *ruleChecker) step(evs ...Event) {
+	opened := map[EndpointID]*ruleCall{}
 	count := map[EndpointID]int{}
-	for _, a := range w.s.Step(w.now, evs) {
+	for _, a := range w.sender.Step(w.now, evs) {
 		w.trace = append(w.trace, fmt.Sprintf("%d %#v", w.now, a))
 		switch a := a.(type) {
 		case CallOut:
-			m, e := w.msgs[a.ID], w.eps[a.Endpoint]
+			m, e := w.messages[a.ID], w.endpoints[a.Endpoint]
 			w.checkSend(m, e)
 			c := opened[a.Endpoint]
-			if c == nil || count[a.Endpoint]%max(w.set.Kinds[e.row.Kind].Batch, 1) == 0 {
-				c = &wcall{}
+			if c == nil || count[a.Endpoint]%max(w.settings.Kinds[e.entry.Kind].Batch, 1) == 0 {
+				c = &ruleCall{}
 				opened[a.Endpoint] = c
-				if w.slots++; w.slots > w.set.Slots {
-					w.bad("more calls out than slots")
+				if w.slotsInUse++; w.slotsInUse > w.settings.Slots {
+					w.fatalf("more calls out than slots")
 				}
-				w.checkCold(e)
+				w.checkBudget(e)
 			}
 			count[a.Endpoint]++
-			c.open++
+			c.pending++
 			o, took, wait := w.outcome(e)
 			if took >= a.GiveUp {
-				o, took, wait = Overdue, a.GiveUp, 0
+				o, took, wait = TimedOut, a.GiveUp, 0
 			}
-			w.queue = append(w.queue, wevent{w.now + took, Reply{ID: a.ID, Endpoint: a.Endpoint, Attempt: m.tries,
-				Outcome: o, Took: took, Wait: wait, Load: w.load()}, m, c})
+			w.pending = append(w.pending, ruleEvent{w.now + took, AttemptResult{ID: a.ID, Endpoint: a.Endpoint, Attempt: m.tries,
+				Outcome: o, Duration: took, RetryAfter: wait, Load: w.loadReport()}, m, c})
 			m.tries++
 		case Cancel:
-			if !w.set.MayCancel {
-				w.bad("cancel where none is allowed")
+			if !w.settings.MayCancel {
+				w.fatalf("cancel where none is allowed")
 			}
-			for i, q := range w.queue {
-				if r, ok := q.ev.(Reply); ok && r.ID == a.ID && r.Attempt == a.Attempt {
-					r.Outcome, r.Wait = Recalled, 0
-					w.queue[i].ev, w.queue[i].at = r, w.now+w.set.Tick
+			for i, q := range w.pending {
+				if r, ok := q.event.(AttemptResult); ok && r.ID == a.ID && r.Attempt == a.Attempt {
+					r.Outcome, r.RetryAfter = Cancelled, 0
+					w.pending[i].event, w.pending[i].at = r, w.now+w.settings.Tick
 				}
 			}
 		case Refuse:
-			m := w.msgs[a.ID]
-			if m.ended && m.deadline > w.now && !m.class.KeepOrder && m.out {
-				w.bad("refused a message with an attempt out")
+			m := w.messages[a.ID]
+			if m.ended && m.deadline > w.now && !m.class.KeepOrder && m.inFlight {
+				w.fatalf("refused a message with an attempt out")
 			}
-			if m.mayRun && m.class.Effect == Unsafe || m.mayRun && m.class.ByZone || m.out {
-				w.bad("refused %s, which may have run", a.ID)
+			if m.mayHaveRun && m.class.Effect == Unsafe || m.mayHaveRun && m.class.ByZone || m.inFlight {
+				w.fatalf("refused %s, which may have run", a.ID)
 			}
-			if a.RetryIn > w.set.MaxRetryAfter || a.RetryIn > 0 && !w.set.RetryAfter {
-				w.bad("advice of %d", a.RetryIn)
+			if a.RetryIn > w.settings.MaxRetryAfter || a.RetryIn > 0 && !w.settings.AdviseRetry {
+				w.fatalf("advice of %d", a.RetryIn)
 			}
-			w.end(m)
+			w.endMessage(m)
 		case Fail:
-			w.end(w.msgs[a.ID])
+			w.endMessage(w.messages[a.ID])
 		case SetTimer:
-			w.queue = append(w.queue, wevent{w.now + max(a.Wait, 1), Due{a.Token}, nil, nil})
+			w.pending = append(w.pending, ruleEvent{w.now + max(a.Wait, 1), TimerExpired{a.Token}, nil, nil})
 		case Probe:
-			if !w.set.Probing {
-				w.bad("probe where none is allowed")
+			if !w.settings.MayProbe {
+				w.fatalf("probe where none is allowed")
 			}
-			e := w.eps[a.Endpoint]
+			e := w.endpoints[a.Endpoint]
 			w.checkEndpoint(e)
-			w.checkCold(e)
+			w.checkBudget(e)
 			o, took, _ := w.outcome(e)
-			if o == Overdue {
+			if o == TimedOut {
 				took = Second
 			}
-			w.queue = append(w.queue, wevent{w.now + took, HealthResult{a.Endpoint, o, nil}, nil, nil})
+			w.pending = append(w.pending, ruleEvent{w.now + took, HealthResult{a.Endpoint, o, nil}, nil, nil})
 		}
 	}
 }
 
-func (w *world) end(m *wmsg) {
-	if m.ended && !m.mayRun && w.now <= m.deadline {
-		w.bad("%s ended twice", m.id)
+func (w *ruleChecker) endMessage(m *ruleMessage) {
+	if m.ended && !m.mayHaveRun && w.now <= m.deadline {
+		w.fatalf("%s ended twice", m.id)
 	}
 	m.ended = true
 }
 
-func (w *world) load() []float64 {
-	if w.set.ReportLimit < 0 {
+func (w *ruleChecker) loadReport() []float64 {
+	if w.settings.LimitIndex < 0 {
 		return nil
 	}
 	return []float64{w.rnd.Float64(), 4 + 4*w.rnd.Float64()}
 }
 
-func (w *world) checkEndpoint(e *wep) {
-	if e.closed && w.now > e.told+w.set.DrainGrace {
-		w.bad("sent to an endpoint that drains or is gone")
+func (w *ruleChecker) checkEndpoint(e *ruleEndpoint) {
+	if e.closed && w.now > e.closedAt+w.settings.DrainGrace {
+		w.fatalf("sent to an endpoint that drains or is gone")
 	}
-	if w.now < w.waits[w.lane(e)] {
-		w.bad("sent before a told wait was over")
+	if w.now < w.waitUntil[w.limiterKey(e)] {
+		w.fatalf("sent before a told wait was over")
 	}
 }
 
-func (w *world) checkSend(m *wmsg, e *wep) {
+func (w *ruleChecker) checkSend(m *ruleMessage, e *ruleEndpoint) {
 	w.checkEndpoint(e)
 	c := m.class
 	switch {
 	case m.ended:
-		w.bad("sent %s after its end", m.id)
-	case m.out:
-		w.bad("two attempts of %s at once", m.id)
-	case e.row.Dest != m.dest:
-		w.bad("sent %s elsewhere", m.id)
-	case m.mayRun && c.Effect == Unsafe:
-		w.bad("unsafe %s sent again", m.id)
-	case m.mayRun && c.Effect == Keyed && (w.now > m.firstMay+c.Window || c.ByZone && e.row.Zone != m.zone):
-		w.bad("keyed %s sent outside its group or window", m.id)
-	case w.set.MaxTries > 0 && m.tries >= w.set.MaxTries:
-		w.bad("too many attempts of %s", m.id)
+		w.fatalf("sent %s after its end", m.id)
+	case m.inFlight:
+		w.fatalf("two attempts of %s at once", m.id)
+	case e.entry.Destination != m.destination:
+		w.fatalf("sent %s elsewhere", m.id)
+	case m.mayHaveRun && c.Effect == Unsafe:
+		w.fatalf("unsafe %s sent again", m.id)
+	case m.mayHaveRun && c.Effect == Keyed && (w.now > m.firstMayHaveRunAt+c.Window || c.ByZone && e.entry.Zone != m.mayHaveRunZone):
+		w.fatalf("keyed %s sent outside its group or window", m.id)
+	case w.settings.MaxTries > 0 && m.tries >= w.settings.MaxTries:
+		w.fatalf("too many attempts of %s", m.id)
 	}
 	if m.key != "" {
-		for _, x := range w.keys[m.key] {
+		for _, x := range w.byOrderKey[m.key] {
 			if x == m {
 				break
 			}
-			if !x.ended || x.out {
-				w.bad("%s sent before %s of its key was over", m.id, x.id)
+			if !x.ended || x.inFlight {
+				w.fatalf("%s sent before %s of its key was over", m.id, x.id)
 			}
 		}
-		if w.now < w.quiet[m.key] && w.quietBy[m.key] != m {
-			w.bad("%s sent while its key rests", m.id)
+		if w.now < w.quietUntil[m.key] && w.quietOwner[m.key] != m {
+			w.fatalf("%s sent while its key rests", m.id)
 		}
 	}
-	m.out = true
-	if !m.mayRun {
-		m.firstMay, m.zone = w.now, e.row.Zone
+	m.inFlight = true
+	if !m.mayHaveRun {
+		m.firstMayHaveRunAt, m.mayHaveRunZone = w.now, e.entry.Zone
 	}
 }
 
-// checkCold holds what goes to destination 1 after its outage against the figures of the rule, for one sender
+// checkBudget holds what goes to destination 1 after its outage against the figures of the rule, for one sender
 // that takes no more than its share, plus six calls for chance and for an endpoint not tried during the outage.
-func (w *world) checkCold(e *wep) {
-	if e.row.Dest == 1 && w.now < w.outage[0] {
-		w.wellSent = append(w.wellSent, w.now)
-		w.peak = max(w.peak, float64(since(w.wellSent, w.now-Second)))
+func (w *ruleChecker) checkBudget(e *ruleEndpoint) {
+	if e.entry.Destination == 1 && w.now < w.outage[0] {
+		w.sentBeforeOutage = append(w.sentBeforeOutage, w.now)
+		w.peakRate = max(w.peakRate, float64(countAfter(w.sentBeforeOutage, w.now-Second)))
 	}
-	if e.row.Dest != 1 || !w.knows || w.now < w.outage[1] || w.now > w.outage[1]+w.set.WarmAfter {
+	if e.entry.Destination != 1 || !w.outageSeen || w.now < w.outage[1] || w.now > w.outage[1]+w.settings.WarmAfter {
 		return
 	}
-	up := w.set.ColdFrom + (1-w.set.ColdFrom)*seconds(w.now-w.outage[1])/seconds(w.set.WarmAfter)
+	up := w.settings.ColdFrom + (1-w.settings.ColdFrom)*seconds(w.now-w.outage[1])/seconds(w.settings.WarmAfter)
 	routes := 1.0
-	if w.set.Kinds[e.row.Kind].Apart {
+	if w.settings.Kinds[e.entry.Kind].SeparateRoutes {
 		routes = 2
 	}
 	limit := 8.0 // the most that a report tells; where none is told, the sender's best second stands for it
-	if w.set.Weights == WeightsOff && w.set.ReportLimit < 0 {
-		limit = max(limit, w.peak)
+	if w.settings.Weights == WeightsOff && w.settings.LimitIndex < 0 {
+		limit = max(limit, w.peakRate)
 	}
-	most := w.set.FallMultiple*up*limit*routes*seconds(w.set.FallWindow)/float64(w.set.Senders) + 6*routes
-	w.coldSent = append(w.coldSent, w.now)
-	if n := since(w.coldSent, w.now-w.set.FallWindow); float64(n) > most {
-		w.bad("%d calls in a fall window to a cold destination, want at most %.1f", n, most)
+	most := w.settings.FallMultiple*up*limit*routes*seconds(w.settings.FallWindow)/float64(w.settings.Senders) + 6*routes
+	w.sentWhileRecovering = append(w.sentWhileRecovering, w.now)
+	if n := countAfter(w.sentWhileRecovering, w.now-w.settings.FallWindow); float64(n) > most {
+		w.fatalf("%d calls in a fall window to a cold destination, want at most %.1f", n, most)
 	}
 }
--- a/logic/routing.go
+++ b/logic/routing.go
@@ -8,42 +8,42 @@
 )
 
 const (
-	slowTimes = 3.0        // ours: an endpoint this much slower than its best sibling is passed over
-	slowProbe = 4 * Second // ours: but tried again after this
+	slowLatencyMultiple = 3.0        // ours: an endpoint this much slower than its best sibling is passed over
+	slowRetryInterval   = 4 * Second // ours: but tried again after this
 )
 
-// send tries the endpoints of m's destination in rotation and reports whether one took it.
-func (s *Sender) send(m *msg) bool {
-	d := m.dest
+// trySend tries the endpoints of m's destination in rotation and reports whether one took it.
+func (s *Sender) trySend(m *message) bool {
+	d := m.destination
 	best := math.Inf(1)
-	for _, e := range d.eps {
-		if e.slow > 0 && !e.suspect {
-			best = min(best, e.slow)
+	for _, e := range d.endpoints {
+		if e.smoothedLatency > 0 && !e.ejected {
+			best = min(best, e.smoothedLatency)
 		}
 	}
 	var pick *endpoint
 	rank := 99
-	for i := range d.eps {
-		e := d.eps[(d.next+i)%len(d.eps)]
-		ok, at := s.gate(m, e)
+	for i := range d.endpoints {
+		e := d.endpoints[(d.nextEndpoint+i)%len(d.endpoints)]
+		ok, at := s.maySend(m, e)
 		if !ok {
-			s.at(at)
+			s.wakeBy(at)
 			continue
 		}
 		r := 0
-		if !s.joins(e) {
+		if !s.joinsOpenCall(e) {
 			r++ // a call that leaves anyway comes first
 		}
-		if s.many && (s.now >= e.warm || int(e.inflight) >= max(s.set.ConnCalls, 1)) {
+		if s.manySenders && (s.now >= e.idleConnUntil || int(e.inflight) >= max(s.settings.ConnCalls, 1)) {
 			r++ // among many senders connections rarely last until the rotation comes round again
 		}
-		if e == m.last {
+		if e == m.lastEndpoint {
 			r += 4 // a resend goes elsewhere where it can
 		}
-		if e.fulls > 1 {
+		if e.consecutiveRejections > 1 {
 			r += 2 // refuses while others may not: draining, or a route at its limit
 		}
-		if e.slow > slowTimes*best && s.now < e.lastSent+slowProbe {
+		if e.smoothedLatency > slowLatencyMultiple*best && s.now < e.lastSentAt+slowRetryInterval {
 			r += 2
 		}
 		if r < rank {
@@ -54,31 +54,32 @@
 		return false
 	}
 	if m.tries == 0 && rank > 0 {
-		d.next = (slices.Index(d.eps, pick) + 1) % len(d.eps)
+		d.nextEndpoint = (slices.Index(d.endpoints, pick) + 1) % len(d.endpoints)
 	}
-	s.launch(m, pick)
+	s.sendTo(m, pick)
 	return true
 }
 
-func (s *Sender) launch(m *msg, e *endpoint) {
-	cold := s.now >= e.warm || int(e.inflight) >= max(s.set.ConnCalls, 1) // needs a new connection
-	if !s.joins(e) {
-		e.open = &call{step: s.step}
-		s.busy++
-		e.lane.tokens--
-		e.lane.inflight++
+func (s *Sender) sendTo(m *message, e *endpoint) {
+	cold := s.now >= e.idleConnUntil || int(e.inflight) >= max(s.settings.ConnCalls, 1) // needs a new connection
+	if !s.joinsOpenCall(e) {
+		e.openCall = &call{step: s.step}
+		s.slotsInUse++
+		e.limiter.tokens--
+		e.limiter.inflight++
 		e.inflight++
-		s.mark(e)
-		e.lane.phase = s.rng.Float64()
-		if e.suspect {
-			s.backOff(e)
+		s.recordCall(e)
+		e.limiter.phase = s.rng.Float64()
+		if e.ejected {
+			s.backOffTrials(e)
 		}
 	}
-	a, give := s.fly(m, e), m.deadline-s.now
-	a.dialed = cold
-	if !s.set.MayCancel && m.class.Effect != Unsafe {
-		give = min(give, 2*s.stuckAfter(e.dest, m)) // nothing can be called off here: let it time out
+	a, give := s.addAttempt(m, e), m.deadline-s.now
+	a.newConn = cold
+	if !s.settings.MayCancel && m.class.Effect != Unsafe {
+		give = min(give, 2*s.stuckAfter(e.destination, m)) // nothing can be called off here: let it time out
 	}
-	s.do(CallOut{ID: a.m.id, GiveUp: give, Endpoint: e.id})
-	s.at(s.now + s.stuckAfter(e.dest, m) + 1) // looked at in time even if nothing else happens until then
+	s.emit(CallOut{ID: a.message.id, GiveUp: give, Endpoint: e.id})
+	// looked at in time even if nothing else happens until then
+	s.wakeBy(s.now + s.stuckAfter(e.destination, m) + 1)
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -8,44 +8,46 @@
 	"testing"
 )
 
-// variants are deployments unlike each other; each must keep the six rules under random outcomes.
-func variants() map[string]Settings {
-	make := func(f func(*Settings)) Settings { s := base(); f(&s); return s }
+// settingsVariants are deployments unlike each other; each must keep the six rules under random outcomes.
+func settingsVariants() map[string]Settings {
+	make := func(f func(*Settings)) Settings { s := baseSettings(); f(&s); return s }
 	return map[string]Settings{
-		"plain":      base(),
-		"one class":  make(func(s *Settings) { s.Classes = s.Classes[2:] }),
-		"tenants":    make(func(s *Settings) { s.Tenants = []Tenant{{"x", 2}, {"y", 1}, {"z", 0}}; s.OverShareWorth = 0.2 }),
-		"zones":      make(func(s *Settings) { s.Zones, s.Zone = 2, 1; s.Classes[1].ByZone = true }),
-		"ordered":    make(func(s *Settings) { s.KeyQuiet = Second; s.Classes[0].KeepOrder, s.Classes[2].KeepOrder = true, true }),
-		"batches":    make(func(s *Settings) { s.Kinds[0].Batch = 10 }),
-		"apart":      make(func(s *Settings) { s.Kinds = []Kind{{Name: "k", Apart: true, Batch: 1}, {Name: "l", Batch: 3}} }),
+		"plain":     baseSettings(),
+		"one class": make(func(s *Settings) { s.Classes = s.Classes[2:] }),
+		"tenants":   make(func(s *Settings) { s.Tenants = []Tenant{{"x", 2}, {"y", 1}, {"z", 0}}; s.OverShareWorth = 0.2 }),
+		"zones":     make(func(s *Settings) { s.Zones, s.Zone = 2, 1; s.Classes[1].ByZone = true }),
+		"ordered":   make(func(s *Settings) { s.KeyQuiet = Second; s.Classes[0].KeepOrder, s.Classes[2].KeepOrder = true, true }),
+		"batches":   make(func(s *Settings) { s.Kinds[0].Batch = 10 }),
+		"apart": make(func(s *Settings) {
+			s.Kinds = []Kind{{Name: "k", SeparateRoutes: true, Batch: 1}, {Name: "l", Batch: 3}}
+		}),
 		"weights":    make(func(s *Settings) { s.Weights = WeightsNominal }),
 		"rough":      make(func(s *Settings) { s.Weights = WeightsRough }),
-		"probing":    make(func(s *Settings) { s.Probing, s.Halves = true, true }),
-		"on request": make(func(s *Settings) { s.OnRequest = true }),
+		"probing":    make(func(s *Settings) { s.MayProbe, s.WorthHalves = true, true }),
+		"on request": make(func(s *Settings) { s.ListOnRequest = true }),
 		"one slot":   make(func(s *Settings) { s.Slots = 1 }),
 		"tiny hold":  make(func(s *Settings) { s.MaxOpen = 3 }),
-		"no advice":  make(func(s *Settings) { s.RetryAfter, s.MaxRetryAfter = false, 0 }),
+		"no advice":  make(func(s *Settings) { s.AdviseRetry, s.MaxRetryAfter = false, 0 }),
 		"no cancel":  make(func(s *Settings) { s.MayCancel = false }),
-		"reports":    make(func(s *Settings) { s.ReportLeft, s.ReportLimit = 0, 1; s.Senders = 9 }),
+		"reports":    make(func(s *Settings) { s.LimitLeftIndex, s.LimitIndex = 0, 1; s.Senders = 9 }),
 		"no limits":  make(func(s *Settings) { s.MaxOpen, s.MaxTries, s.Slots = 0, 0, 40 }),
 		"short tick": make(func(s *Settings) { s.Tick = 1000; s.DrainGrace = 0 }),
 	}
 }
 
 func TestRulesUnderRandomOutcomes(t *testing.T) {
-	for name, set := range variants() {
+	for name, set := range settingsVariants() {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 3; seed++ {
-				newWorld(t, set, seed).play()
+				newRuleChecker(t, set, seed).play()
 			}
 		})
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestSameEventsGiveSameActions(t *testing.T) {
 	for _, name := range []string{"apart", "zones", "reports"} {
-		a, b := newWorld(t, variants()[name], 3), newWorld(t, variants()[name], 3)
+		a, b := newRuleChecker(t, settingsVariants()[name], 3), newRuleChecker(t, settingsVariants()[name], 3)
 		a.play()
 		b.play()
 		if !slices.Equal(a.trace, b.trace) {
@@ -57,23 +59,23 @@
 	}
 }
 
-func TestNamesDecideNothing(t *testing.T) {
-	set := variants()["tenants"]
-	a := newWorld(t, set, 5)
+func TestNamesDoNotAffectDecisions(t *testing.T) {
+	set := settingsVariants()["tenants"]
+	a := newRuleChecker(t, set, 5)
 	a.play()
 	for i := range set.Classes {
 		set.Classes[i].Name = fmt.Sprint("zebra-", i)
 	}
 	set.Tenants = []Tenant{{"q", 2}, {"", 1}, {"other", 0}}
 	set.Kinds[0].Name = "renamed"
-	b := newWorld(t, set, 5)
+	b := newRuleChecker(t, set, 5)
 	b.play()
 	if !slices.Equal(a.trace, b.trace) {
 		t.Error("renaming changed the actions")
 	}
 }
 
-func TestNewNamesTheBadSetting(t *testing.T) {
+func TestNewNamesTheInvalidSetting(t *testing.T) {
 	for want, f := range map[string]func(*Settings){
 		"Classes": func(s *Settings) { s.Classes = nil }, "Senders": func(s *Settings) { s.Senders = 0 },
 		"Zone": func(s *Settings) { s.Zone = 4 }, "Slots": func(s *Settings) { s.Slots = -1 },
@@ -81,7 +83,7 @@
 		"ColdFrom": func(s *Settings) { s.ColdFrom = 2 }, "Classes[1]": func(s *Settings) { s.Classes[1].Deadline = 0 },
 		"Kinds[0]": func(s *Settings) { s.Kinds[0].Batch = -1 }, "Tick": func(s *Settings) { s.Tick = -1 },
 	} {
-		set := base()
+		set := baseSettings()
 		f(&set)
 		if _, err := New(set, 1); err == nil || err.Error() != "settings: "+want+" makes no sense" {
 			t.Errorf("%s: got error %v", want, err)
@@ -90,7 +92,7 @@
 }
 
 // Figures that are missing or make no sense get a safe value and a word, each once; what can be used stays.
-func TestMendTakesSafeValues(t *testing.T) {
+func TestReplaceInvalidTakesSafeValues(t *testing.T) {
 	nan, huge := math.NaN(), math.MaxFloat64
 	for want, f := range map[string]func(*Settings){
 		"Senders of 0 makes no sense, taken for 16":                   func(s *Settings) { s.Senders = 0 },
@@ -118,14 +120,14 @@
 		"MaxRetryAfter of 9223372036854775807 makes no sense, taken for 0":      func(s *Settings) { s.MaxRetryAfter = never },
 		"OverShareWorth of 1.7976931348623157e+308 makes no sense, taken for 1": func(s *Settings) { s.OverShareWorth = huge },
 	} {
-		set := base()
+		set := baseSettings()
 		set.ConnCalls = 1
 		f(&set)
-		said := set.Mend()
+		said := set.ReplaceInvalid()
 		if strings.Join(said, "; ") != strings.TrimSuffix("settings: "+want, "settings: ") {
 			t.Errorf("want %q, said %q", want, said)
 		}
-		if again := set.Mend(); len(again) > 0 {
+		if again := set.ReplaceInvalid(); len(again) > 0 {
 			t.Errorf("%s: said again %q", want, again)
 		}
 		if _, err := New(set, 1); err != nil {
@@ -133,8 +135,8 @@
 		}
 	}
 	var none Settings
-	none.Classes = base().Classes
-	none.Mend()
+	none.Classes = baseSettings().Classes
+	none.ReplaceInvalid()
 	if _, err := New(none, 1); err != nil {
 		t.Errorf("nothing but classes: %v", err)
 	}
@@ -142,30 +144,30 @@
 
 // Limits and reports that make no sense neither open the gates nor close them: the calls go on at a sane pace, and every
 // message ends in time.
-func TestNonsenseInReports(t *testing.T) {
+func TestInvalidLoadReportsAndLimits(t *testing.T) {
 	for _, load := range [][]float64{{math.NaN(), math.NaN()}, {-1, -1}, {1e300, math.Inf(1)}, {0.5, 0}, {math.Inf(-1), 1e300},
 		{0.5}, nil, {1, 1e-300}, {0, 5e-324}} {
 		for _, nominal := range []float64{0, -1, 40, 1e-300, 1e308, math.Inf(1), math.NaN()} {
-			set := base()
-			set.Senders, set.Weights, set.ReportLeft, set.ReportLimit = 80, WeightsRough, 0, 1
-			r := newRig(t, set)
-			ev := list(1)
+			set := baseSettings()
+			set.Senders, set.Weights, set.LimitLeftIndex, set.LimitIndex = 80, WeightsRough, 0, 1
+			r := newHarness(t, set)
+			ev := fullList(1)
 			ev.Entries[0].Nominal = nominal
 			r.step(0, ev)
 			ended, sent := 0, 0
 			for i := range 400 {
 				at := 0.1 * float64(i+1)
-				evs := []Event{Due{}}
+				evs := []Event{TimerExpired{}}
 				if i < 20 {
-					evs = append(evs, r.call(0))
+					evs = append(evs, r.newMessage(0))
 				}
 				acts := r.step(at, evs...)
 				for len(acts) > 0 {
-					ended += len(only[Fail](acts)) + len(only[Refuse](acts))
+					ended += len(actionsOf[Fail](acts)) + len(actionsOf[Refuse](acts))
 					var next []Event
-					for _, c := range only[CallOut](acts) {
+					for _, c := range actionsOf[CallOut](acts) {
 						sent++
-						x := answer(c.ID, 1, 0, Completed)
+						x := resultOf(c.ID, 1, 0, Completed)
 						x.Load = load
 						next, ended = append(next, x), ended+1
 					}
