--- a/logic/state.go
+++ b/logic/state.go
@@ -9,114 +9,116 @@
 
 // State of a Sender, and helpers that only keep it. What to do with it is decided in logic.go.
 
-// dest is a destination. Its lane is the limit that its endpoints share; routes apart have one each.
-type dest struct {
-	id     int64
-	eps    []*endpoint // listed, in list order
-	lane   *lane
-	hist   hist
-	used   Micros
-	downAt Micros  // when the last outage was seen
-	rank   float64 // messages ahead in the pass at hand
-	next   int     // rotation of first sends
-	kind   int32
-	came   int32 // messages since the last outage began
-	msgs   int32 // messages in the books
-	hurt   bool  // an endpoint of it was cold or suspect once
-}
-
-type lane struct {
-	limit     float64 // calls a second for all senders, as told; 0 if not
-	left      float64 // share of the limit that is left, as told last
-	pace      float64 // 0: free
-	halved    Micros
-	tokens    float64
-	filled    Micros
-	until     Micros // told wait
-	firstFull Micros
-	sent      []Micros
-	peak      float64
-	phase     float64 // 0 to 1, drawn at each call: sets the next one apart from those of other senders
-	inflight  int32
-	fulls     uint16 // in a row
-	told      bool   // limit came in a report
+// destination is a destination. Its lane is the limit that its endpoints share; routes apart have one each.
+type destination struct {
+	id           int64
+	endpoints    []*endpoint // listed, in list order
+	limiter      *limiter
+	histogram    histogram
+	lastUsedAt   Micros
+	lastOutageAt Micros  // when the last outage was seen
+	queuedAhead  float64 // messages ahead in the pass at hand
+	nextEndpoint int     // rotation of first sends
+	kind         int32
+	arrivals     int32 // messages since the last outage began
+	messageCount int32 // messages in the books
+	hadOutage    bool  // an endpoint of it was cold or suspect once
+}
+
+type limiter struct {
+	limit           float64 // calls a second for all senders, as told; 0 if not
+	limitLeft       float64 // share of the limit that is left, as told last
+	pace            float64 // 0: free
+	halvedAt        Micros
+	tokens          float64
+	refilledAt      Micros
+	waitUntil       Micros // told wait
+	firstRejectedAt Micros
+	sentTimes       []Micros
+	peakRate        float64
+	// 0 to 1, drawn at each call: sets the next one apart from those of other senders
+	phase                 float64
+	inflight              int32
+	consecutiveRejections uint16 // in a row
+	limitReported         bool   // limit came in a report
 }
 
 type endpoint struct {
-	id                EndpointID
-	zone              int32
-	fails, fulls      int32 // in a row
-	inflight          int32
-	state             Readiness
-	suspect           bool // out, as far as we know
-	cold              bool // was out; budgeted until backAt+WarmAfter
-	kept              bool // on the whole list at hand
-	dest              *dest
-	lane              *lane
-	sent              []Micros
-	bad               float64
-	lastOK, lastBad   Micros
-	well              Micros // last answer that shows it to be well for itself
-	said              Micros // when the last call that it answered was sent
-	backAt            Micros
-	trialAt, trialGap Micros
-	slow              float64 // smoothed latency, microseconds
-	lastSent          Micros
-	goneAt            Micros
-	warm              Micros // an idle connection lasts until then
-	open              *call
-}
-
-type call struct{ step, n, left int }
+	id                                         EndpointID
+	zone                                       int32
+	consecutiveFailures, consecutiveRejections int32 // in a row
+	inflight                                   int32
+	state                                      EndpointState
+	ejected                                    bool // out, as far as we know
+	recovering                                 bool // was out; budgeted until backAt+WarmAfter
+	listed                                     bool // on the whole list at hand
+	destination                                *destination
+	limiter                                    *limiter
+	sentTimes                                  []Micros
+	failureRate                                float64
+	lastSuccessAt, lastFailureAt               Micros
+	lastHealthyAt                              Micros // last answer that shows it to be well for itself
+	lastAnsweredSentAt                         Micros // when the last call that it answered was sent
+	returnedAt                                 Micros
+	nextTrialAt, trialInterval                 Micros
+	smoothedLatency                            float64 // smoothed latency, microseconds
+	lastSentAt                                 Micros
+	removedAt                                  Micros
+	idleConnUntil                              Micros // an idle connection lasts until then
+	openCall                                   *call
+}
+
+type call struct{ step, attempts, pending int }
 
 type attempt struct {
-	m         *msg
-	n         int
-	ep        *endpoint
-	at        Micros
-	call      *call
-	cancelled bool
-	cut       bool // cancelled at τ
-	stuck     bool
-	dialed    bool // over a new connection
-	late      bool // counted as lasting past τ while it is out
-}
-
-type msg struct {
-	id       string
-	class    *Class
-	ci       int
-	share    float64 // part of its worth that it keeps by its tenant's quota
-	dest     *dest
-	seq      int
-	first    Micros // when it was first handed in
-	deadline Micros
-	tries    int
-	cuts     int
-	out      *attempt
-	mayRun   bool
-	firstMay Micros // send of the first attempt that may have run
-	mayZone  int32
-	last     *endpoint
-	rest     Micros
-	line     *keyLine
-	over     bool
-	flows    bool
-	came     int    // step
-	untried  bool   // a restart found it, or would find it over, and no call of it has been made
-	half     Micros // when half of the time is over that it had here: it waits no longer for the first list
-	chance   Micros // untried: how long it waits for the pace
-	prio     float64
-}
-
-type keyLine struct {
-	q     []*msg
-	quiet Micros
-	by    *msg
-}
-
-// since counts the marks after t.
-func since(marks []Micros, t Micros) int {
+	message     *message
+	number      int
+	endpoint    *endpoint
+	sentAt      Micros
+	call        *call
+	cancelled   bool
+	cutOff      bool // cancelled at τ
+	stuck       bool
+	newConn     bool // over a new connection
+	countedLate bool // counted as lasting past τ while it is out
+}
+
+type message struct {
+	id                string
+	class             *Class
+	classIndex        int
+	worthShare        float64 // part of its worth that it keeps by its tenant's quota
+	destination       *destination
+	seq               int
+	receivedAt        Micros // when it was first handed in
+	deadline          Micros
+	tries             int
+	cutOffs           int
+	attempt           *attempt
+	mayHaveRun        bool
+	firstMayHaveRunAt Micros // send of the first attempt that may have run
+	mayHaveRunZone    int32
+	lastEndpoint      *endpoint
+	notBefore         Micros
+	keyQueue          *keyQueue
+	ended             bool
+	streaming         bool
+	arrivalStep       int  // step
+	untried           bool // a restart found it, or would find it over, and no call of it has been made
+	// when half of the time is over that it had here: it waits no longer for the first list
+	listWaitUntil Micros
+	lastChanceAt  Micros // untried: how long it waits for the pace
+	priority      float64
+}
+
+type keyQueue struct {
+	messages   []*message
+	quietUntil Micros
+	quietOwner *message
+}
+
+// countAfter counts the marks after t.
+func countAfter(marks []Micros, t Micros) int {
 	n := 0
 	for i := len(marks) - 1; i >= 0 && marks[i] > t; i-- {
 		n++
@@ -124,7 +126,7 @@
 	return n
 }
 
-func trim(marks []Micros, keep Micros) []Micros {
+func dropBefore(marks []Micros, keep Micros) []Micros {
 	i := 0
 	for i < len(marks)-1 && marks[i] < keep {
 		i++
@@ -134,324 +136,329 @@
 
 // Sender decides for one sender. Make it with New.
 type Sender struct {
-	set     Settings
-	rng     *rand.Rand
-	now     Micros
-	step    int
-	out     []Action
-	eps     map[EndpointID]*endpoint
-	banned  map[EndpointID]bool // taken out by an operator
-	dests   map[int64]*dest
-	order   []*dest // dests, in the order in which they became known
-	msgs    map[string]*msg
-	held    []*msg // messages not over, in order of arrival
-	flying  []*attempt
-	busy    int // slots in use
-	seq     int
-	byClass []hist
-	usage   []usage // by tenant
-	keys    map[string]*keyLine
-	most    [3]int // eps, dests and keys when they are next looked through
-	swept   int    // place in order of the last destination that sweep looked at
-	wake    Micros // when something is next to be done
-	timer   Micros // when the last timer set goes off; 0 if none is out
-	askAt   Micros // when to ask for the list; never if asked
-	askGap  Micros
-	listAt  Micros // when the list was told last
-	watched bool   // and what changes since is told at once
-	saved   bool   // it is as saved before the start
-	silent  bool   // pushed lists: the agent was asked since and said nothing
+	settings          Settings
+	rng               *rand.Rand
+	now               Micros
+	step              int
+	actions           []Action
+	endpoints         map[EndpointID]*endpoint
+	banned            map[EndpointID]bool // taken out by an operator
+	destinations      map[int64]*destination
+	destinationOrder  []*destination // dests, in the order in which they became known
+	messages          map[string]*message
+	openMessages      []*message // messages not over, in order of arrival
+	attempts          []*attempt
+	slotsInUse        int // slots in use
+	lastSeq           int
+	classHistograms   []histogram
+	tenantUsage       []tenantUsage // by tenant
+	orderKeys         map[string]*keyQueue
+	pruneAbove        [3]int // eps, dests and keys when they are next looked through
+	lastSwept         int    // place in order of the last destination that sweep looked at
+	nextWakeAt        Micros // when something is next to be done
+	timerAt           Micros // when the last timer set goes off; 0 if none is out
+	listRequestAt     Micros // when to ask for the list; never if asked
+	listRetryDelay    Micros
+	listConfirmedAt   Micros // when the list was told last
+	watchOpen         bool   // and what changes since is told at once
+	listSaved         bool   // it is as saved before the start
+	agentUnresponsive bool   // pushed lists: the agent was asked since and said nothing
 	// when an answer first came since that could not be used; 0 if none did
-	unusableAt Micros
-	closeAt    Micros // when this sender stops; 0 if it does not
-	logs       int
-	many       bool            // senders
-	aim        Micros          // the shortest of the classes
-	stray      float64         // share of calls that fail by chance, at endpoints that are not out
-	turned     map[int]float64 // by kind, share of calls turned away
-	room       map[int]int     // by kind, new connections let in since one was refused
-	meanWorth  float64         // of messages that came
-}
-
-// hist is a discounted latency histogram.
-type hist struct {
-	bins   *bins // nil: all nought
-	total  float64
-	cuts   float64
-	at     Micros
-	tau    Micros // 0: waiting is best
-	median Micros
-	p95    Micros
-}
-
-// bins are the weights from the lowest bin in use to the highest. A destination's latencies lie close
+	unusableAnswerAt  Micros
+	stopAt            Micros // when this sender stops; 0 if it does not
+	logLines          int
+	manySenders       bool            // senders
+	shortestAim       Micros          // the shortest of the classes
+	chanceFailureRate float64         // share of calls that fail by chance, at endpoints that are not out
+	rejectedShare     map[int]float64 // by kind, share of calls turned away
+	newConnsAccepted  map[int]int     // by kind, new connections let in since one was refused
+	meanWorth         float64         // of messages that came
+}
+
+// histogram is a discounted latency histogram.
+type histogram struct {
+	bins      *binWeights // nil: all nought
+	total     float64
+	cutOffs   float64
+	updatedAt Micros
+	tau       Micros // 0: waiting is best
+	median    Micros
+	p95       Micros
+}
+
+// binWeights are the weights from the lowest bin in use to the highest. A destination's latencies lie close
 // together, and a sender of many sees few of them.
-type bins struct {
-	low int
-	w   []float64
+type binWeights struct {
+	low     int
+	weights []float64
 }
 
-// at is the weight of a bin. The last bin holds what lasted past every edge.
-func (b *bins) at(i int) float64 {
-	if b == nil || i < b.low || i >= b.low+len(b.w) {
+// weight is the weight of a bin. The last bin holds what lasted past every edge.
+func (b *binWeights) weight(i int) float64 {
+	if b == nil || i < b.low || i >= b.low+len(b.weights) {
 		return 0
 	}
-	return b.w[i-b.low]
+	return b.weights[i-b.low]
 }
 
-// fade discounts all weights and gives up those at the ends that come to nothing: less than binLeast changes
-// no sum that is believed.
-func (b *bins) fade(f float64) {
+// discount discounts all weights and gives up those at the ends that come to nothing: less than binLeast
+// changes no sum that is believed.
+func (b *binWeights) discount(f float64) {
 	if b == nil {
 		return
 	}
-	for i := range b.w {
-		b.w[i] *= f
+	for i := range b.weights {
+		b.weights[i] *= f
 	}
-	for len(b.w) > 0 && b.w[0] < binLeast {
-		b.w = b.w[1:]
+	for len(b.weights) > 0 && b.weights[0] < minBinWeight {
+		b.weights = b.weights[1:]
 		b.low++
 	}
-	for len(b.w) > 0 && b.w[len(b.w)-1] < binLeast {
-		b.w = b.w[:len(b.w)-1]
+	for len(b.weights) > 0 && b.weights[len(b.weights)-1] < minBinWeight {
+		b.weights = b.weights[:len(b.weights)-1]
 	}
 }
 
-// put adds a sample.
-func (h *hist) put(i int) {
+// addSample adds a sample.
+func (h *histogram) addSample(i int) {
 	if h.bins == nil {
-		h.bins = &bins{}
+		h.bins = &binWeights{}
 	}
 	b := h.bins
-	switch low, end := min(b.low, i), max(b.low+len(b.w), i+1); {
-	case len(b.w) == 0:
-		b.low, b.w = i, make([]float64, 1)
-	case end-low > len(b.w):
+	switch low, end := min(b.low, i), max(b.low+len(b.weights), i+1); {
+	case len(b.weights) == 0:
+		b.low, b.weights = i, make([]float64, 1)
+	case end-low > len(b.weights):
 		w := make([]float64, end-low)
-		copy(w[b.low-low:], b.w)
-		b.low, b.w = low, w
+		copy(w[b.low-low:], b.weights)
+		b.low, b.weights = low, w
 	}
-	b.w[i-b.low]++
+	b.weights[i-b.low]++
 }
 
-func (s *Sender) do(a Action) { s.out = append(s.out, a) }
+func (s *Sender) emit(a Action) { s.actions = append(s.actions, a) }
 
-func (s *Sender) at(t Micros) { s.wake = min(s.wake, t) }
+func (s *Sender) wakeBy(t Micros) { s.nextWakeAt = min(s.nextWakeAt, t) }
 
-func (s *Sender) unlist(e *endpoint) {
-	e.state, e.goneAt = Gone, s.now
-	e.dest.eps = slices.DeleteFunc(e.dest.eps, func(x *endpoint) bool { return x == e })
+func (s *Sender) removeEndpoint(e *endpoint) {
+	e.state, e.removedAt = Removed, s.now
+	e.destination.endpoints = slices.DeleteFunc(e.destination.endpoints,
+		func(x *endpoint) bool { return x == e })
 }
 
-// unlistAll takes what the leading entries say is gone off the list, each destination in one pass, and
+// removeLeading takes what the leading entries say is gone off the list, each destination in one pass, and
 // returns the entries that follow.
-func (s *Sender) unlistAll(rows []Entry) []Entry {
+func (s *Sender) removeLeading(rows []Entry) []Entry {
 	n := 0
-	for n < len(rows) && rows[n].State == Gone {
+	for n < len(rows) && rows[n].State == Removed {
 		n++
 	}
 	if n < 2 {
 		return rows
 	}
-	of := map[*dest]bool{}
+	of := map[*destination]bool{}
 	for _, row := range rows[:n] {
-		if e := s.eps[row.Endpoint]; e != nil {
-			e.state, e.goneAt, of[e.dest] = Gone, s.now, true
+		if e := s.endpoints[row.Endpoint]; e != nil {
+			e.state, e.removedAt, of[e.destination] = Removed, s.now, true
 		}
 	}
 	for d := range of {
-		d.eps = slices.DeleteFunc(d.eps, func(e *endpoint) bool { return e.state == Gone })
+		d.endpoints = slices.DeleteFunc(d.endpoints, func(e *endpoint) bool { return e.state == Removed })
 	}
 	return rows[n:]
 }
 
-func newEndpoint(id EndpointID, d *dest) *endpoint {
-	return &endpoint{id: id, dest: d, lane: d.lane,
-		lastOK: longAgo, lastBad: longAgo, lastSent: longAgo, well: longAgo, said: longAgo}
+func newEndpoint(id EndpointID, d *destination) *endpoint {
+	return &endpoint{id: id, destination: d, limiter: d.limiter,
+		lastSuccessAt: distantPast, lastFailureAt: distantPast, lastSentAt: distantPast,
+		lastHealthyAt: distantPast, lastAnsweredSentAt: distantPast}
 }
 
-func (s *Sender) dest(id int64) *dest {
-	d := s.dests[id]
+func (s *Sender) destinationFor(id int64) *destination {
+	d := s.destinations[id]
 	if d == nil {
-		d = &dest{id: id, lane: s.newLane(), used: s.now}
-		s.dests[id] = d
-		s.order = append(s.order, d)
+		d = &destination{id: id, limiter: s.newLimiter(), lastUsedAt: s.now}
+		s.destinations[id] = d
+		s.destinationOrder = append(s.destinationOrder, d)
 	}
 	return d
 }
 
-// newLane is a lane of which nothing is known. Many senders that start at once call at times of their own.
-func (s *Sender) newLane() *lane {
-	if !s.many {
-		return &lane{}
+// newLimiter is a lane of which nothing is known. Many senders that start at once call at times of their own.
+func (s *Sender) newLimiter() *limiter {
+	if !s.manySenders {
+		return &limiter{}
 	}
-	return &lane{left: 0.5, filled: s.now, tokens: s.rng.Float64()}
+	return &limiter{limitLeft: 0.5, refilledAt: s.now, tokens: s.rng.Float64()}
 }
 
-func (s *Sender) kind(d *dest) Kind {
-	if d.kind >= 0 && int(d.kind) < len(s.set.Kinds) {
-		return s.set.Kinds[d.kind]
+func (s *Sender) kindOf(d *destination) Kind {
+	if d.kind >= 0 && int(d.kind) < len(s.settings.Kinds) {
+		return s.settings.Kinds[d.kind]
 	}
 	return Kind{}
 }
 
-// value is the worth of m if it is delivered at t.
-func (s *Sender) value(m *msg, t Micros) float64 {
+// worthAt is the worth of m if it is delivered at t.
+func (s *Sender) worthAt(m *message, t Micros) float64 {
 	if t > m.deadline {
 		return 0
 	}
 	c := m.class
-	late := float64(t - m.first - c.Aim)
+	late := float64(t - m.receivedAt - c.Aim)
 	switch {
 	case late <= 0:
 		return c.Worth
-	case s.set.Halves:
+	case s.settings.WorthHalves:
 		return c.Worth * max(c.LateWorth, math.Exp2(-late/float64(max(c.Aim, 1))))
 	}
 	return c.Worth * (1 - (1-c.LateWorth)*min(1, late/float64(max(c.Deadline-c.Aim, 1))))
 }
 
-// destPace is the pace of a destination over all its lanes; 0 if one of them is free.
-func (s *Sender) destPace(d *dest) float64 {
-	if !s.kind(d).Apart {
-		return d.lane.pace
+// destinationPace is the pace of a destination over all its lanes; 0 if one of them is free.
+func (s *Sender) destinationPace(d *destination) float64 {
+	if !s.kindOf(d).SeparateRoutes {
+		return d.limiter.pace
 	}
 	sum := 0.0
-	for _, e := range d.eps {
-		if e.lane.pace == 0 {
+	for _, e := range d.endpoints {
+		if e.limiter.pace == 0 {
 			return 0
 		}
-		sum += e.lane.pace
+		sum += e.limiter.pace
 	}
 	return sum
 }
 
-func bin(t Micros) int {
-	i, _ := slices.BinarySearch(edges[:], t)
+func binIndex(t Micros) int {
+	i, _ := slices.BinarySearch(binEdges[:], t)
 	return i
 }
 
-// report takes the limit that an answer tells.
-func (s *Sender) report(e *endpoint, load []float64) {
-	if i := s.set.ReportLimit; i >= 0 && i < len(load) && load[i] > 0 && load[i] <= mostRate {
-		e.lane.limit, e.lane.told = max(load[i], leastRate), true
+// applyLoadReport takes the limit that an answer tells.
+func (s *Sender) applyLoadReport(e *endpoint, load []float64) {
+	if i := s.settings.LimitIndex; i >= 0 && i < len(load) && load[i] > 0 && load[i] <= maxRateRPS {
+		e.limiter.limit, e.limiter.limitReported = max(load[i], minRateRPS), true
 	}
-	if i := s.set.ReportLeft; i >= 0 && i < len(load) && load[i] >= 0 && e.lane.limit > 0 {
-		e.lane.left = min(load[i], 1)
+	if i := s.settings.LimitLeftIndex; i >= 0 && i < len(load) && load[i] >= 0 && e.limiter.limit > 0 {
+		e.limiter.limitLeft = min(load[i], 1)
 	}
 }
 
-// close forgets a message that is over, once nothing of it is out.
-func (s *Sender) close(m *msg) {
-	if !m.over {
-		m.over = true
-		s.held = slices.DeleteFunc(s.held, func(x *msg) bool { return x == m })
+// forgetMessage forgets a message that is over, once nothing of it is out.
+func (s *Sender) forgetMessage(m *message) {
+	if !m.ended {
+		m.ended = true
+		s.openMessages = slices.DeleteFunc(s.openMessages, func(x *message) bool { return x == m })
 	}
-	if m.out != nil {
+	if m.attempt != nil {
 		return
 	}
-	if s.msgs[m.id] == m {
-		m.dest.msgs--
-		delete(s.msgs, m.id)
+	if s.messages[m.id] == m {
+		m.destination.messageCount--
+		delete(s.messages, m.id)
 	}
-	if l := m.line; l != nil {
-		l.q = slices.DeleteFunc(l.q, func(x *msg) bool { return x == m })
-		m.line = nil
+	if l := m.keyQueue; l != nil {
+		l.messages = slices.DeleteFunc(l.messages, func(x *message) bool { return x == m })
+		m.keyQueue = nil
 	}
 }
 
-// landed takes an attempt that has its outcome off the books and reports whether its call is over with it.
-func (s *Sender) landed(a *attempt) bool {
-	a.m.out, a.m.flows = nil, false
-	s.flying = slices.DeleteFunc(s.flying, func(x *attempt) bool { return x == a })
-	if a.call.left--; a.call.left > 0 {
+// finishAttempt takes an attempt that has its outcome off the books and reports whether its call is over with
+// it.
+func (s *Sender) finishAttempt(a *attempt) bool {
+	a.message.attempt, a.message.streaming = nil, false
+	s.attempts = slices.DeleteFunc(s.attempts, func(x *attempt) bool { return x == a })
+	if a.call.pending--; a.call.pending > 0 {
 		return false
 	}
-	if a.ep.open == a.call {
-		a.ep.open = nil // no step joins it any more
+	if a.endpoint.openCall == a.call {
+		a.endpoint.openCall = nil // no step joins it any more
 	}
-	s.busy--
-	a.ep.inflight--
-	a.ep.lane.inflight--
+	s.slotsInUse--
+	a.endpoint.inflight--
+	a.endpoint.limiter.inflight--
 	return true
 }
 
-// prune keeps what the tables hold in proportion to what is listed and held: endpoints that are gone,
+// pruneTables keeps what the tables hold in proportion to what is listed and held: endpoints that are gone,
 // destinations without either and order keys at rest are forgotten, each table once it has doubled since.
-func (s *Sender) prune() {
-	old := s.now - idleAge
-	if len(s.eps) > s.most[0] {
-		for id, e := range s.eps {
-			if e.state == Gone && e.inflight == 0 && max(e.lastSent, e.goneAt) < old {
-				delete(s.eps, id)
+func (s *Sender) pruneTables() {
+	old := s.now - idleStateAge
+	if len(s.endpoints) > s.pruneAbove[0] {
+		for id, e := range s.endpoints {
+			if e.state == Removed && e.inflight == 0 && max(e.lastSentAt, e.removedAt) < old {
+				delete(s.endpoints, id)
 			}
 		}
-		s.most[0] = max(tableLeast, 2*len(s.eps))
+		s.pruneAbove[0] = max(minPruneAbove, 2*len(s.endpoints))
 	}
-	if len(s.dests) > s.most[1] {
-		s.order = slices.DeleteFunc(s.order, func(d *dest) bool {
-			idle := len(d.eps) == 0 && d.msgs == 0 && d.lane.inflight == 0 && d.used < old
+	if len(s.destinations) > s.pruneAbove[1] {
+		s.destinationOrder = slices.DeleteFunc(s.destinationOrder, func(d *destination) bool {
+			idle := len(d.endpoints) == 0 && d.messageCount == 0 && d.limiter.inflight == 0 && d.lastUsedAt < old
 			if idle {
-				delete(s.dests, d.id)
+				delete(s.destinations, d.id)
 			}
 			return idle
 		})
-		s.most[1] = max(tableLeast, 2*len(s.dests))
+		s.pruneAbove[1] = max(minPruneAbove, 2*len(s.destinations))
 	}
-	if len(s.keys) > s.most[2] {
-		for key, l := range s.keys {
-			if len(l.q) == 0 && l.quiet < s.now {
-				delete(s.keys, key)
+	if len(s.orderKeys) > s.pruneAbove[2] {
+		for key, l := range s.orderKeys {
+			if len(l.messages) == 0 && l.quietUntil < s.now {
+				delete(s.orderKeys, key)
 			}
 		}
-		s.most[2] = max(tableLeast, 2*len(s.keys))
+		s.pruneAbove[2] = max(minPruneAbove, 2*len(s.orderKeys))
 	}
 }
 
-// sweep drops what some destinations have learned that were idle for so long that the next message would
+// sweepIdle drops what some destinations have learned that were idle for so long that the next message would
 // drop it.
-func (s *Sender) sweep() {
-	for range min(sweepStep, len(s.order)) {
-		s.swept = (s.swept + 1) % len(s.order)
-		d := s.order[s.swept]
-		if d.hist.bins != nil && d.msgs == 0 && d.lane.inflight == 0 && s.now-d.used > idleAge {
-			d.hist = hist{}
+func (s *Sender) sweepIdle() {
+	for range min(destinationsPerSweep, len(s.destinationOrder)) {
+		s.lastSwept = (s.lastSwept + 1) % len(s.destinationOrder)
+		d := s.destinationOrder[s.lastSwept]
+		if d.histogram.bins != nil && d.messageCount == 0 && d.limiter.inflight == 0 &&
+			s.now-d.lastUsedAt > idleStateAge {
+			d.histogram = histogram{}
 		}
 	}
 }
 
-// joins says whether a send to e now would travel in a call that this step opens anyway.
-func (s *Sender) joins(e *endpoint) bool {
-	return e.open != nil && e.open.step == s.step && e.open.n < s.kind(e.dest).Batch
+// joinsOpenCall says whether a send to e now would travel in a call that this step opens anyway.
+func (s *Sender) joinsOpenCall(e *endpoint) bool {
+	return e.openCall != nil && e.openCall.step == s.step && e.openCall.attempts < s.kindOf(e.destination).Batch
 }
 
-// mark notes a call to e for the budget and the pace.
-func (s *Sender) mark(e *endpoint) {
-	l := e.lane
-	keep := s.now - max(s.set.FallWindow, Second) - 1
-	e.sent, l.sent = append(trim(e.sent, keep), s.now), append(trim(l.sent, keep), s.now)
-	l.peak = max(l.peak, float64(since(l.sent, s.now-Second)))
+// recordCall notes a call to e for the budget and the pace.
+func (s *Sender) recordCall(e *endpoint) {
+	l := e.limiter
+	keep := s.now - max(s.settings.FallWindow, Second) - 1
+	e.sentTimes, l.sentTimes = append(dropBefore(e.sentTimes, keep), s.now),
+		append(dropBefore(l.sentTimes, keep), s.now)
+	l.peakRate = max(l.peakRate, float64(countAfter(l.sentTimes, s.now-Second)))
 }
 
-// fly books an attempt of m at e.
-func (s *Sender) fly(m *msg, e *endpoint) *attempt {
-	e.open.n++
-	e.open.left++
-	e.lastSent = s.now
-	a := &attempt{m: m, n: m.tries, ep: e, at: s.now, call: e.open}
+// addAttempt books an attempt of m at e.
+func (s *Sender) addAttempt(m *message, e *endpoint) *attempt {
+	e.openCall.attempts++
+	e.openCall.pending++
+	e.lastSentAt = s.now
+	a := &attempt{message: m, number: m.tries, endpoint: e, sentAt: s.now, call: e.openCall}
 	m.tries++
-	m.out, m.last = a, e
-	if !m.mayRun {
-		m.firstMay, m.mayZone = s.now, e.zone
+	m.attempt, m.lastEndpoint = a, e
+	if !m.mayHaveRun {
+		m.firstMayHaveRunAt, m.mayHaveRunZone = s.now, e.zone
 	}
-	s.flying = append(s.flying, a)
+	s.attempts = append(s.attempts, a)
 	return a
 }
 
-// onTrial is the number of slots that calls to endpoints that seem out hold.
-func (s *Sender) onTrial() (n int) {
-	for _, a := range s.flying {
-		if a.ep.suspect {
+// trialsInFlight is the number of slots that calls to endpoints that seem out hold.
+func (s *Sender) trialsInFlight() (n int) {
+	for _, a := range s.attempts {
+		if a.endpoint.ejected {
 			n++
 		}
 	}
@@ -461,141 +468,143 @@
 // seconds is a span as a number.
 func seconds(t Micros) float64 { return float64(t) / float64(Second) }
 
-// micros is a number of microseconds as a span. Figures that make no sense come to a day at most: more might
-// overflow.
-func micros(x float64) Micros {
-	if !(x <= float64(mostWait)) {
-		return mostWait
+// toMicros is a number of microseconds as a span. Figures that make no sense come to a day at most: more
+// might overflow.
+func toMicros(x float64) Micros {
+	if !(x <= float64(maxWait)) {
+		return maxWait
 	}
 	return Micros(max(x, 0))
 }
 
-// accept takes a new message into the books.
-func (s *Sender) accept(c Call) {
-	if s.msgs[c.ID] != nil {
+// acceptMessage takes a new message into the books.
+func (s *Sender) acceptMessage(c NewMessage) {
+	if s.messages[c.ID] != nil {
 		return
 	}
-	if c.Class < 0 || c.Class >= len(s.set.Classes) {
-		s.do(Refuse{ID: c.ID})
+	if c.Class < 0 || c.Class >= len(s.settings.Classes) {
+		s.emit(Refuse{ID: c.ID})
 		return
 	}
-	s.prune()
-	s.sweep()
-	class := &s.set.Classes[c.Class]
-	s.seq++
-	m := &msg{id: c.ID, class: class, ci: c.Class, dest: s.dest(c.Dest), seq: s.seq, came: s.step,
-		deadline: s.now + c.Left, half: s.now + c.Left/2, first: min(s.now, s.now+c.Left-class.Deadline)}
-	s.ageOut(m.dest)
-	m.dest.came++
-	s.meanWorth += (class.Worth - s.meanWorth) / float64(min(s.seq, 50))
-	m.share = s.shareOf(c.Tenant)
-	s.msgs[m.id] = m
-	m.dest.msgs++
-	s.held = append(s.held, m)
+	s.pruneTables()
+	s.sweepIdle()
+	class := &s.settings.Classes[c.Class]
+	s.lastSeq++
+	m := &message{id: c.ID, class: class, classIndex: c.Class, destination: s.destinationFor(c.Destination),
+		seq: s.lastSeq, arrivalStep: s.step,
+		deadline: s.now + c.TimeLeft, listWaitUntil: s.now + c.TimeLeft/2,
+		receivedAt: min(s.now, s.now+c.TimeLeft-class.Deadline)}
+	s.dropIfIdle(m.destination)
+	m.destination.arrivals++
+	s.meanWorth += (class.Worth - s.meanWorth) / float64(min(s.lastSeq, 50))
+	m.worthShare = s.tenantWorthShare(c.Tenant)
+	s.messages[m.id] = m
+	m.destination.messageCount++
+	s.openMessages = append(s.openMessages, m)
 	if class.KeepOrder && c.Key != "" {
-		line := s.keys[c.Key]
+		line := s.orderKeys[c.Key]
 		if line == nil {
-			line = &keyLine{}
-			s.keys[c.Key] = line
+			line = &keyQueue{}
+			s.orderKeys[c.Key] = line
 		}
-		line.q = append(line.q, m)
-		m.line = line
+		line.messages = append(line.messages, m)
+		m.keyQueue = line
 	}
-	s.resume(m, c.Past)
+	s.resumeMessage(m, c.Prior)
 }
 
-// keepOnly takes off the list what is not among the entries.
-func (s *Sender) keepOnly(rows []Entry) {
+// removeUnlisted takes off the list what is not among the entries.
+func (s *Sender) removeUnlisted(rows []Entry) {
 	for _, row := range rows {
-		if e := s.eps[row.Endpoint]; e != nil {
-			e.kept = true
+		if e := s.endpoints[row.Endpoint]; e != nil {
+			e.listed = true
 		}
 	}
-	for _, d := range s.order {
-		d.eps = slices.DeleteFunc(d.eps, func(e *endpoint) bool {
-			if !e.kept {
-				e.state, e.goneAt = Gone, s.now
+	for _, d := range s.destinationOrder {
+		d.endpoints = slices.DeleteFunc(d.endpoints, func(e *endpoint) bool {
+			if !e.listed {
+				e.state, e.removedAt = Removed, s.now
 			}
-			return !e.kept
+			return !e.listed
 		})
 	}
 	for _, row := range rows {
-		if e := s.eps[row.Endpoint]; e != nil {
-			e.kept = false
+		if e := s.endpoints[row.Endpoint]; e != nil {
+			e.listed = false
 		}
 	}
 }
 
-// crowd is the share of the hold that is taken.
-func (s *Sender) crowd() float64 {
-	if s.set.MaxOpen == 0 {
+// openShare is the share of the hold that is taken.
+func (s *Sender) openShare() float64 {
+	if s.settings.MaxOpen == 0 {
 		return 0
 	}
-	return float64(len(s.held)) / float64(s.set.MaxOpen)
+	return float64(len(s.openMessages)) / float64(s.settings.MaxOpen)
 }
 
 // log writes a line for the people on call, within the cap.
 func (s *Sender) log(format string, args ...any) {
-	if s.logs++; s.logs <= logMost {
-		s.do(Log{fmt.Sprintf(format, args...)})
+	if s.logLines++; s.logLines <= maxLogLines {
+		s.emit(Log{fmt.Sprintf(format, args...)})
 	}
 }
 
-// elsewhere says whether a sibling of e seems well.
-func (s *Sender) elsewhere(e *endpoint) bool {
-	for _, x := range e.dest.eps {
-		if x != e && !x.suspect && x.state == Ready && !s.banned[x.id] {
+// hasHealthySibling says whether a sibling of e seems well.
+func (s *Sender) hasHealthySibling(e *endpoint) bool {
+	for _, x := range e.destination.endpoints {
+		if x != e && !x.ejected && x.state == Ready && !s.banned[x.id] {
 			return true
 		}
 	}
 	return false
 }
 
-// cancel calls an attempt off, once.
-func (s *Sender) cancel(a *attempt) {
-	if !a.cancelled && s.set.MayCancel && !a.m.flows {
+// cancelAttempt calls an attempt off, once.
+func (s *Sender) cancelAttempt(a *attempt) {
+	if !a.cancelled && s.settings.MayCancel && !a.message.streaming {
 		a.cancelled = true
-		s.do(Cancel{ID: a.m.id, Attempt: a.n})
+		s.emit(Cancel{ID: a.message.id, Attempt: a.number})
 	}
 }
 
-// take hands an event to the section that it concerns.
-func (s *Sender) take(ev Event) {
+// handleEvent hands an event to the section that it concerns.
+func (s *Sender) handleEvent(ev Event) {
 	switch ev := ev.(type) {
-	case Endpoints:
-		s.list(ev)
-	case Call:
-		s.accept(ev)
-	case Started:
-		if m := s.msgs[ev.ID]; m != nil && m.out != nil && m.out.n == ev.Attempt {
-			m.flows = true
+	case ListUpdate:
+		s.applyListUpdate(ev)
+	case NewMessage:
+		s.acceptMessage(ev)
+	case StreamStarted:
+		if m := s.messages[ev.ID]; m != nil && m.attempt != nil && m.attempt.number == ev.Attempt {
+			m.streaming = true
 		}
-	case Reply:
-		s.reply(ev)
+	case AttemptResult:
+		s.handleResult(ev)
 	case ClientGone:
-		if m := s.msgs[ev.ID]; m != nil && !m.over {
-			s.close(m)
-			if m.out != nil {
-				s.cancel(m.out)
+		if m := s.messages[ev.ID]; m != nil && !m.ended {
+			s.forgetMessage(m)
+			if m.attempt != nil {
+				s.cancelAttempt(m.attempt)
 			}
 		}
-	case TakeOut:
-		s.ban(ev.Endpoint)
-	case PutBack:
-		s.unban(ev.Endpoint)
-	case Moved:
-		s.moved()
-	case Closing:
-		s.closing(ev.Left)
-	case Due:
-		if s.now >= s.timer {
-			s.timer = 0
+	case Ban:
+		s.banEndpoint(ev.Endpoint)
+	case Unban:
+		s.unbanEndpoint(ev.Endpoint)
+	case DiscoveryMoved:
+		s.discoveryMoved()
+	case Stopping:
+		s.prepareStop(ev.TimeLeft)
+	case TimerExpired:
+		if s.now >= s.timerAt {
+			s.timerAt = 0
 		}
 	}
 }
 
-// usage is the discounted count of a tenant's messages.
-type usage struct {
-	n  float64
-	at Micros
+// tenantUsage is the discounted count of a tenant's messages.
+type tenantUsage struct {
+	messages  float64
+	updatedAt Micros
 }
--- a/logic/timer.go
+++ b/logic/timer.go
@@ -3,26 +3,26 @@
 // Timers, and state that ages out.
 
 const (
-	idleAge = 4 * halfLife // ours: state of a destination without traffic is dropped after this
+	idleStateAge = 4 * histogramHalfLife // ours: state of a destination without traffic is dropped after this
 )
 
-// ageOut drops the state of a destination that was long idle, once a message for it comes.
-func (s *Sender) ageOut(d *dest) {
-	if s.now-d.used > idleAge && d.lane.inflight == 0 {
-		d.hist, d.lane.pace = hist{}, 0
+// dropIfIdle drops the state of a destination that was long idle, once a message for it comes.
+func (s *Sender) dropIfIdle(d *destination) {
+	if s.now-d.lastUsedAt > idleStateAge && d.limiter.inflight == 0 {
+		d.histogram, d.limiter.pace = histogram{}, 0
 	}
-	d.used = s.now
+	d.lastUsedAt = s.now
 }
 
-// arm sets a timer for the next thing to be done, unless one that goes off by then is out.
-func (s *Sender) arm() {
-	if s.wake == never {
+// armTimer sets a timer for the next thing to be done, unless one that goes off by then is out.
+func (s *Sender) armTimer() {
+	if s.nextWakeAt == never {
 		return
 	}
-	s.wake = max(s.wake, s.now+max(s.set.Tick, 1000))
-	if s.timer > s.now && s.timer <= s.wake {
+	s.nextWakeAt = max(s.nextWakeAt, s.now+max(s.settings.Tick, 1000))
+	if s.timerAt > s.now && s.timerAt <= s.nextWakeAt {
 		return
 	}
-	s.timer = s.wake
-	s.do(SetTimer{Wait: s.wake - s.now, Token: uint64(s.step)})
+	s.timerAt = s.nextWakeAt
+	s.emit(SetTimer{Wait: s.nextWakeAt - s.now, Token: uint64(s.step)})
 }
--- a/logic/types.go
+++ b/logic/types.go
@@ -67,23 +67,23 @@
 
 // Settings are the facts that a deployment states at start.
 type Settings struct {
-	Senders    int // senders that share the destinations, this one counted
-	Zone       int // this sender's zone
-	Zones      int
-	Classes    []Class
-	Tenants    []Tenant // may be empty
-	Kinds      []Kind
-	Slots      int // calls out at once
-	MaxOpen    int // messages held at once; 0 for no limit
-	MaxTries   int // attempts for a message; 0 for no limit
-	Tick       Micros
-	OnRequest  bool // the endpoint list comes only when asked for
-	Pushed     bool // an agent on this machine has the list, and what it has counts as known to the sender
-	Probing    bool
-	MayCancel  bool
-	RetryAfter bool // clients are given advice on when to come again
-	Halves     bool // worth falls by half with each aim after the first; else evenly
-	Weights    WeightsMode
+	Senders       int // senders that share the destinations, this one counted
+	Zone          int // this sender's zone
+	Zones         int
+	Classes       []Class
+	Tenants       []Tenant // may be empty
+	Kinds         []Kind
+	Slots         int // calls out at once
+	MaxOpen       int // messages held at once; 0 for no limit
+	MaxTries      int // attempts for a message; 0 for no limit
+	Tick          Micros
+	ListOnRequest bool // the endpoint list comes only when asked for
+	ListPushed    bool // an agent on this machine has the list, and what it has counts as known to the sender
+	MayProbe      bool
+	MayCancel     bool
+	AdviseRetry   bool // clients are given advice on when to come again
+	WorthHalves   bool // worth falls by half with each aim after the first; else evenly
+	Weights       WeightsMode
 
 	ConnIdle  Micros  // idle connections close after this
 	ConnCalls int     // calls that one connection carries at once
@@ -93,45 +93,45 @@
 	OverShareWorth float64 // part of its worth that a message over its tenant's quota keeps
 
 	DrainGrace   Micros
-	ListAge      Micros  // nothing new is sent on a list that was told longer ago; 0 for no such bound
+	MaxListAge   Micros  // nothing new is sent on a list that was told longer ago; 0 for no such bound
 	FallMultiple float64 // sent more than this many times its capacity
 	FallWindow   Micros  // for this long, a cold destination falls over
 	ColdFrom     float64 // share of its capacity that a destination has after an outage
 	WarmAfter    Micros  // and when it has all of it again
 	KeyQuiet     Micros  // rest of a key after an attempt whose end is not sure
 
-	ReportLeft  int // place of the share of the limit that is left in Reply.Load; -1 if none
-	ReportLimit int // place of the limit in calls a second in Reply.Load; -1 if none
+	LimitLeftIndex int // place of the share of the limit that is left in Reply.Load; -1 if none
+	LimitIndex     int // place of the limit in calls a second in Reply.Load; -1 if none
 }
 
 // Kind is a kind of destination.
 type Kind struct {
-	Name  string
-	Apart bool // endpoints are routes apart, each with its own limit, pace and outages
-	Batch int  // messages in one call at most
+	Name           string
+	SeparateRoutes bool // endpoints are routes apart, each with its own limit, pace and outages
+	Batch          int  // messages in one call at most
 }
 
 // EndpointID names an endpoint; it tells nothing else.
 type EndpointID uint32
 
-// Readiness is what the list says of an endpoint. It says nothing of health.
-type Readiness uint8
+// EndpointState is what the list says of an endpoint. It says nothing of health.
+type EndpointState uint8
 
 // The states of a listed endpoint.
 const (
-	Ready Readiness = iota
+	Ready EndpointState = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Entry is one line of the endpoint list.
 type Entry struct {
-	Endpoint EndpointID
-	State    Readiness
-	Zone     int
-	Kind     int
-	Dest     int64
-	Nominal  float64
+	Endpoint    EndpointID
+	State       EndpointState
+	Zone        int
+	Kind        int
+	Destination int64
+	Nominal     float64
 }
 
 // Event is something that happened: one of the types below.
@@ -142,61 +142,62 @@
 
 // The forms of list news.
 const (
-	ListDelta    ListForm = iota // changes only
-	ListFull                     // the whole list; what is not in it is gone
-	ListCached                   // the whole list as last saved, maybe old
-	ListFailed                   // a request for the list failed; the old one stands
-	ListBegun                    // an answer has begun to come, which takes its time
-	ListUnusable                 // an answer came that can't be used; it is asked for again
-	ListWatched                  // no news: the list is as it was, and what changes is told at once from now on
+	ListDelta          ListForm = iota // changes only
+	ListFull                           // the whole list; what is not in it is gone
+	ListCached                         // the whole list as last saved, maybe old
+	ListRequestFailed                  // a request for the list failed; the old one stands
+	ListAnswerBegun                    // an answer has begun to come, which takes its time
+	ListAnswerUnusable                 // an answer came that can't be used; it is asked for again
+	// no news: the list is as it was, and what changes is told at once from now on
+	ListWatchOpen
 )
 
-// Endpoints is news of the endpoint list.
-type Endpoints struct {
-	Form    ListForm
-	Entries []Entry
-	Old     bool // ListCached: changes may have been missed; news of them is on its way
-	Silent  bool // ListFailed: nobody answered
+// ListUpdate is news of the endpoint list.
+type ListUpdate struct {
+	Form         ListForm
+	Entries      []Entry
+	Stale        bool // ListCached: changes may have been missed; news of them is on its way
+	Unresponsive bool // ListFailed: nobody answered
 }
 
-// Call is a new message, or one that this sender had before a restart.
-type Call struct {
-	ID     string
-	Left   Micros // how long it may still be delivered
-	Key    string // order key; empty if none
-	Dest   int64
-	Tenant int // -1 if none
-	Class  int
-	Past   Past
+// NewMessage is a new message, or one that this sender had before a restart.
+type NewMessage struct {
+	ID          string
+	TimeLeft    Micros // how long it may still be delivered
+	Key         string // order key; empty if none
+	Destination int64
+	Tenant      int // -1 if none
+	Class       int
+	Prior       PriorAttempts
 }
 
-// Past is what became of a message before a restart; the zero value is that of a
+// PriorAttempts is what became of a message before a restart; the zero value is that of a
 // new message.
-type Past struct {
-	Kept   bool   // a restart found it: it was taken on before
-	Tries  int    // attempts made
-	MayRun bool   // one of them may have run
-	Age    Micros // time since the first that may have run was sent
-	Zone   int    // zone of its endpoint
+type PriorAttempts struct {
+	Recovered      bool   // a restart found it: it was taken on before
+	Tries          int    // attempts made
+	MayHaveRun     bool   // one of them may have run
+	SinceFirstSend Micros // time since the first that may have run was sent
+	Zone           int    // zone of its endpoint
 }
 
-// Closing says that the sender stops within Left: what cannot finish by then is
+// Stopping says that the sender stops within Left: what cannot finish by then is
 // not to be begun.
-type Closing struct{ Left Micros }
+type Stopping struct{ TimeLeft Micros }
 
-// TakeOut says that an operator has taken an endpoint out: nothing is sent there until the PutBack, whatever
+// Ban says that an operator has taken an endpoint out: nothing is sent there until the PutBack, whatever
 // the list says. The endpoint need not be listed.
-type TakeOut struct{ Endpoint EndpointID }
+type Ban struct{ Endpoint EndpointID }
 
-// PutBack ends that. The endpoint counts as cold from now on: it may have been restarted meanwhile.
-type PutBack struct{ Endpoint EndpointID }
+// Unban ends that. The endpoint counts as cold from now on: it may have been restarted meanwhile.
+type Unban struct{ Endpoint EndpointID }
 
-// Moved says that discovery has another address: what made calls for the list fail may be over.
-type Moved struct{}
+// DiscoveryMoved says that discovery has another address: what made calls for the list fail may be over.
+type DiscoveryMoved struct{}
 
-// Started says that a stream has begun to flow: nothing more can be done for
+// StreamStarted says that a stream has begun to flow: nothing more can be done for
 // the message.
-type Started struct {
+type StreamStarted struct {
 	ID      string
 	Attempt int
 }
@@ -208,17 +209,18 @@
 const (
 	Completed   Outcome = iota // delivered
 	Errored                    // answered with an error
-	Full                       // turned away unseen
-	Overdue                    // no answer in the time given
-	RefusedConn                // no connection could be made
-	Severed                    // the connection broke
-	Recalled                   // called off
-	Moot                       // never sent: no slot, message over, or too many attempts
+	Rejected                   // turned away unseen
+	TimedOut                   // no answer in the time given
+	ConnRefused                // no connection could be made
+	ConnBroken                 // the connection broke
+	Cancelled                  // called off
+	NotSent                    // never sent: no slot, message over, or too many attempts
 )
 
 // outcomeNames are the outcomes as logs show them.
-var outcomeNames = [...]string{Completed: "completed", Errored: "errored", Full: "full", Overdue: "overdue",
-	RefusedConn: "refused_conn", Severed: "severed", Recalled: "recalled", Moot: "moot"}
+var outcomeNames = [...]string{Completed: "completed", Errored: "errored", Rejected: "full",
+	TimedOut:    "overdue",
+	ConnRefused: "refused_conn", ConnBroken: "severed", Cancelled: "recalled", NotSent: "moot"}
 
 // String names the outcome.
 func (o Outcome) String() string {
@@ -228,23 +230,23 @@
 	return "unknown"
 }
 
-// Reply is the one outcome of an attempt.
-type Reply struct {
-	ID       string
-	NoMore   bool // the message is over
-	Endpoint EndpointID
-	Attempt  int
-	Outcome  Outcome
-	Took     Micros
-	Wait     Micros // Full: the wait that was told; 0 if none
-	Load     []float64
+// AttemptResult is the one outcome of an attempt.
+type AttemptResult struct {
+	ID           string
+	MessageEnded bool // the message is over
+	Endpoint     EndpointID
+	Attempt      int
+	Outcome      Outcome
+	Duration     Micros
+	RetryAfter   Micros // Full: the wait that was told; 0 if none
+	Load         []float64
 }
 
 // ClientGone says that nobody wants the message any more.
 type ClientGone struct{ ID string }
 
-// Due says that a timer has run out.
-type Due struct{ Token uint64 }
+// TimerExpired says that a timer has run out.
+type TimerExpired struct{ Token uint64 }
 
 // HealthResult is the one outcome of a probe.
 type HealthResult struct {
@@ -253,17 +255,17 @@
 	Load     []float64
 }
 
-func (Endpoints) isEvent()    {}
-func (Call) isEvent()         {}
-func (Started) isEvent()      {}
-func (Reply) isEvent()        {}
-func (ClientGone) isEvent()   {}
-func (Due) isEvent()          {}
-func (HealthResult) isEvent() {}
-func (Closing) isEvent()      {}
-func (TakeOut) isEvent()      {}
-func (PutBack) isEvent()      {}
-func (Moved) isEvent()        {}
+func (ListUpdate) isEvent()     {}
+func (NewMessage) isEvent()     {}
+func (StreamStarted) isEvent()  {}
+func (AttemptResult) isEvent()  {}
+func (ClientGone) isEvent()     {}
+func (TimerExpired) isEvent()   {}
+func (HealthResult) isEvent()   {}
+func (Stopping) isEvent()       {}
+func (Ban) isEvent()            {}
+func (Unban) isEvent()          {}
+func (DiscoveryMoved) isEvent() {}
 
 // Action is something to do: one of the types below.
 type Action interface{ isAction() }
