--- a/cmd/cometrack/main.go
+++ b/cmd/cometrack/main.go
@@ -78,19 +78,19 @@
 			return
 		case <-hup:
 		}
-		addr, err := node.LoadDiscovery()
+		addr, err := node.LoadDiscoveryAddr()
 		for i := 1; err != nil && i < readTries; i++ { // the file may be half written
 			select {
 			case <-done:
 				return
 			case <-time.After(readPause):
 			}
-			addr, err = node.LoadDiscovery()
+			addr, err = node.LoadDiscoveryAddr()
 		}
 		if err != nil {
 			log.Error("configuration not taken", "err", err)
 			continue
 		}
-		n.Move(addr)
+		n.MoveDiscovery(addr)
 	}
 }
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -11,18 +11,18 @@
 	"crossdeal/logic"
 )
 
-// carryOut writes the journal and then acts.
-func (n *Node) carryOut(work context.Context, actions []logic.Action) {
-	answers := n.answers(actions)
-	for i, p := range n.puts {
-		again := slices.ContainsFunc(n.puts[:i], func(x putEvent) bool { return x.msg.ID == p.msg.ID })
-		if answers[p.msg.ID] == "" && !again {
-			m := p.msg
-			n.records = append(n.records, record{Op: opAccept, Entry: &Entry{Message: m}})
+// executeActions writes the journal and then acts.
+func (n *Node) executeActions(work context.Context, actions []logic.Action) {
+	answers := n.immediateAnswers(actions)
+	for i, p := range n.newPuts {
+		again := slices.ContainsFunc(n.newPuts[:i], func(x putEvent) bool { return x.message.ID == p.message.ID })
+		if answers[p.message.ID] == "" && !again {
+			m := p.message
+			n.pendingRecords = append(n.pendingRecords, record{Op: opAccept, Entry: &Entry{Message: m}})
 		}
 	}
-	kept := map[string]*idleConn{} // what the calls of this step use
-	denied := map[string]bool{}    // calls that are not made
+	kept := map[string]*endpointConn{} // what the calls of this step use
+	denied := map[string]bool{}        // calls that are not made
 	for _, a := range actions {
 		switch a := a.(type) {
 		case logic.CallOut:
@@ -30,85 +30,85 @@
 				denied[a.ID] = true
 				continue
 			}
-			if conn := n.caller.take(a.Endpoint, n.target(a.Endpoint).Addr); conn != nil {
+			if conn := n.transport.takeIdle(a.Endpoint, n.target(a.Endpoint).Addr); conn != nil {
 				kept[a.ID] = conn
-				n.records = append(n.records, n.sendRecord(a.ID, a.Endpoint))
+				n.pendingRecords = append(n.pendingRecords, n.sendRecord(a.ID, a.Endpoint))
 			} else {
-				n.records = append(n.records, record{Op: opBegin, ID: a.ID})
+				n.pendingRecords = append(n.pendingRecords, record{Op: opConnect, ID: a.ID})
 			}
 		case logic.Refuse, logic.Fail:
 			x := noticeOf(a)
 			if answers[x.ID] == "" && n.journal.Entry(x.ID) != nil {
-				n.records = append(n.records, record{Op: opEnd, ID: x.ID, Notice: &x})
+				n.pendingRecords = append(n.pendingRecords, record{Op: opEndWithNotice, ID: x.ID, Notice: &x})
 			}
 		}
 	}
-	err := n.journal.Append(n.records)
-	n.records = nil
+	err := n.journal.Append(n.pendingRecords)
+	n.pendingRecords = nil
 	if err != nil {
 		n.log.Error("journal", "err", err)
 	}
-	for _, p := range n.puts {
-		switch answer := answers[p.msg.ID]; {
+	for _, p := range n.newPuts {
+		switch answer := answers[p.message.ID]; {
 		case answer != "":
-			n.trace.answered(p.msg.ID, answer)
+			n.trace.notAccepted(p.message.ID, answer)
 			p.answer <- answer
 		case err != nil: // not written, so not taken on
-			p.answer <- busy(0)
-			n.drop(p.msg.ID)
-			n.next = append(n.next, logic.ClientGone{ID: p.msg.ID})
+			p.answer <- busyAnswer(0)
+			n.dropUnaccepted(p.message.ID)
+			n.nextEvents = append(n.nextEvents, logic.ClientGone{ID: p.message.ID})
 		default:
-			n.trace.accepted(&p.msg)
+			n.trace.accepted(&p.message)
 			p.answer <- answerOK
 		}
 	}
-	n.puts = nil
+	n.newPuts = nil
 	for _, a := range actions {
 		if out, ok := a.(logic.CallOut); ok && denied[out.ID] {
-			n.deny(out)
+			n.reportDeniedCall(out)
 			continue
 		}
-		n.act(work, a, answers, kept, err == nil)
+		n.executeAction(work, a, answers, kept, err == nil)
 	}
 }
 
-// deny answers the module for a call that the guard has stopped: it was never sent.
-func (n *Node) deny(a logic.CallOut) {
+// reportDeniedCall answers the module for a call that the guard has stopped: it was never sent.
+func (n *Node) reportDeniedCall(a logic.CallOut) {
 	h := n.held[a.ID]
-	ev := replyEvent{&call{id: a.ID, attempt: h.tries, ep: a.Endpoint, state: new(atomic.Int32)}, result{outcome: logic.NotSent}, 0}
-	h.tries++
-	time.AfterFunc(retryPause, func() { n.events <- ev })
+	ev := replyEvent{&call{id: a.ID, attempt: h.attempts, endpoint: a.Endpoint, state: new(atomic.Int32)}, callResult{outcome: logic.NotSent}, 0}
+	h.attempts++
+	time.AfterFunc(retryDelay, func() { n.events <- ev })
 }
 
-func (n *Node) act(work context.Context, a logic.Action, answers map[string]string, kept map[string]*idleConn, written bool) {
+func (n *Node) executeAction(work context.Context, a logic.Action, answers map[string]string, kept map[string]*endpointConn, written bool) {
 	switch a := a.(type) {
 	case logic.CallOut:
-		n.callOut(work, a, kept[a.ID], written)
+		n.startCall(work, a, kept[a.ID], written)
 	case logic.Cancel:
-		if h := n.held[a.ID]; h != nil && h.stop != nil && h.tries-1 == a.Attempt {
+		if h := n.held[a.ID]; h != nil && h.cancelCall != nil && h.attempts-1 == a.Attempt {
 			n.trace.cancelled(a)
-			h.stop(nil)
+			h.cancelCall(nil)
 		}
 	case logic.Refuse, logic.Fail:
 		x := noticeOf(a)
 		if answers[x.ID] != "" {
-			n.drop(x.ID)
+			n.dropUnaccepted(x.ID)
 			return
 		}
-		if h := n.held[x.ID]; h != nil && !h.over {
+		if h := n.held[x.ID]; h != nil && !h.ended {
 			n.trace.ended(x)
-			n.finish(x.ID, h)
+			n.endMessage(x.ID, h)
 			n.notices.add(x)
 		}
 	case logic.SetTimer:
 		ev := logic.TimerExpired{Token: a.Token}
-		time.AfterFunc(span(a.Wait), func() { n.events <- ev })
+		time.AfterFunc(toDuration(a.Wait), func() { n.events <- ev })
 	case logic.Probe:
 		n.probe(work, a.Endpoint)
 	case logic.Release:
-		n.caller.release(a.Endpoint)
+		n.transport.closeIdle(a.Endpoint)
 	case logic.Listen:
-		n.listen(work)
+		n.watchList(work)
 	case logic.Log:
 		n.log.Info(a.Text)
 	}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	orderLine  = 256                    // bytes of a call, with its end of line
-	orderTime  = 2 * time.Second        // for a caller to send its line
-	orderWait  = 800 * time.Millisecond // for the loop to carry it out: an answer is due within a second
-	orderConns = 24                     // callers at once
+	maxCommandBytes  = 256                    // bytes of a call, with its end of line
+	commandIOTimeout = 2 * time.Second        // for a caller to send its line
+	commandTimeout   = 800 * time.Millisecond // for the loop to carry it out: an answer is due within a second
+	maxOperatorConns = 24                     // callers at once
 )
 
 var (
@@ -30,68 +30,68 @@
 	errTooBusy  = errors.New("the sender is too busy")
 )
 
-// order is an operator's word on an endpoint. The loop carries it out and says why not, if it cannot.
-type order struct {
-	back   bool // put it back, not take it out
-	id     string
-	answer chan<- error
+// operatorCommand is an operator's word on an endpoint. The loop carries it out and says why not, if it cannot.
+type operatorCommand struct {
+	enable   bool // put it back, not take it out
+	endpoint string
+	answer   chan<- error
 }
 
 // adminServer answers operators: one line in and one line out for each connection. It opens before the sender can serve, so
 // that ready can say no.
 type adminServer struct {
-	log     *slog.Logger
-	orders  chan<- order
-	most    int
-	mu      sync.Mutex
-	addr    net.Addr
-	ready   error // why this process cannot serve; nil once it can
-	callers map[net.Conn]*operator
-	next    string        // where to pass calls on, after a handover; empty before
-	gone    chan struct{} // closed at a handover
-	wg      sync.WaitGroup
+	log           *slog.Logger
+	commands      chan<- operatorCommand
+	maxConns      int
+	mu            sync.Mutex
+	addr          net.Addr
+	notReady      error // why this process cannot serve; nil once it can
+	conns         map[net.Conn]*operatorConn
+	successorAddr string        // where to pass calls on, after a handover; empty before
+	handedOver    chan struct{} // closed at a handover
+	wg            sync.WaitGroup
 }
 
-// operator is a caller of the admin server.
-type operator struct {
-	since time.Time
-	heard bool // its line has come
+// operatorConn is a caller of the admin server.
+type operatorConn struct {
+	connectedAt time.Time
+	received    bool // its line has come
 }
 
-func newAdminServer(log *slog.Logger, sockets int, orders chan<- order) *adminServer {
-	return &adminServer{log: log, orders: orders, most: min(orderConns, max(sockets/16, 4)), ready: errStarting,
-		callers: map[net.Conn]*operator{}, gone: make(chan struct{})}
+func newAdminServer(log *slog.Logger, sockets int, orders chan<- operatorCommand) *adminServer {
+	return &adminServer{log: log, commands: orders, maxConns: min(maxOperatorConns, max(sockets/16, 4)), notReady: errStarting,
+		conns: map[net.Conn]*operatorConn{}, handedOver: make(chan struct{})}
 }
 
-// setReady says from now on that this process can serve, or why it cannot.
-func (d *adminServer) setReady(err error) {
+// setReadiness says from now on that this process can serve, or why it cannot.
+func (d *adminServer) setReadiness(err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ready = err
+	d.notReady = err
 }
 
-// handed passes calls on to the admin server of the process that has taken over; "-" if it has none.
-func (d *adminServer) handed(next string) {
+// redirect passes calls on to the admin server of the process that has taken over; "-" if it has none.
+func (d *adminServer) redirect(next string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.next = next
-	close(d.gone)
+	d.successorAddr = next
+	close(d.handedOver)
 }
 
-// passOn asks the admin server of the process that has taken over.
-func (d *adminServer) passOn(call string) error {
-	conn, err := net.DialTimeout("tcp", d.next, orderWait)
+// forward asks the admin server of the process that has taken over.
+func (d *adminServer) forward(call string) error {
+	conn, err := net.DialTimeout("tcp", d.successorAddr, commandTimeout)
 	if err != nil {
-		return errHanded
+		return errHandedOver
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(orderWait))
+	conn.SetDeadline(time.Now().Add(commandTimeout))
 	if _, err := io.WriteString(conn, call+"\n"); err != nil {
-		return errHanded
+		return errHandedOver
 	}
-	said, err := bufio.NewReader(io.LimitReader(conn, orderLine)).ReadString('\n')
+	said, err := bufio.NewReader(io.LimitReader(conn, maxCommandBytes)).ReadString('\n')
 	if err != nil {
-		return errHanded
+		return errHandedOver
 	}
 	if said = strings.TrimSpace(said); said != "ok" {
 		return errors.New(strings.TrimPrefix(said, "fail "))
@@ -118,17 +118,17 @@
 	return d.addr
 }
 
-// whyNot is why this process cannot serve; nil if it can.
-func (d *adminServer) whyNot() error {
+// readiness is why this process cannot serve; nil if it can.
+func (d *adminServer) readiness() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.ready
+	return d.notReady
 }
 
 // serve answers callers until ctx is over and all have left.
 func (d *adminServer) serve(ctx context.Context, ln net.Listener) {
 	defer d.wg.Wait()
-	defer context.AfterFunc(ctx, func() { ln.Close(); d.dismiss() })()
+	defer context.AfterFunc(ctx, func() { ln.Close(); d.wakeSilent() })()
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -136,84 +136,84 @@
 				return
 			}
 			d.log.Warn("admin server", "err", err)
-			time.Sleep(acceptPause) // out of descriptors, say: one that closes makes room
+			time.Sleep(shortRetryDelay) // out of descriptors, say: one that closes makes room
 			continue
 		}
-		if !d.enter(conn) {
+		if !d.addConn(conn) {
 			conn.Close()
 			continue
 		}
 		d.wg.Go(func() {
 			d.handle(ctx, conn)
-			d.leave(conn)
+			d.closeConn(conn)
 		})
 	}
 }
 
-// enter counts a caller in. With the table full, the one that has been silent longest makes room: silent callers
+// addConn counts a caller in. With the table full, the one that has been silent longest makes room: silent callers
 // must not keep others out.
-func (d *adminServer) enter(conn net.Conn) bool {
+func (d *adminServer) addConn(conn net.Conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.callers) >= d.most && !d.makeRoom() {
+	if len(d.conns) >= d.maxConns && !d.evictSilent() {
 		return false // all wait for their answers, which come soon
 	}
-	d.callers[conn] = &operator{since: time.Now()}
+	d.conns[conn] = &operatorConn{connectedAt: time.Now()}
 	return true
 }
 
-// makeRoom drops the caller that has been silent longest, false if none is silent. Its handler wakes and closes the
+// evictSilent drops the caller that has been silent longest, false if none is silent. Its handler wakes and closes the
 // connection. The caller of makeRoom holds d.mu.
-func (d *adminServer) makeRoom() bool {
+func (d *adminServer) evictSilent() bool {
 	var oldest net.Conn
-	for c, x := range d.callers {
-		if !x.heard && (oldest == nil || x.since.Before(d.callers[oldest].since)) {
+	for c, x := range d.conns {
+		if !x.received && (oldest == nil || x.connectedAt.Before(d.conns[oldest].connectedAt)) {
 			oldest = c
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	delete(d.callers, oldest)
+	delete(d.conns, oldest)
 	oldest.SetReadDeadline(time.Unix(1, 0))
 	return true
 }
 
-// heard notes that a caller's line has come; false if the caller had to make room.
-func (d *adminServer) heard(conn net.Conn) bool {
+// markReceived notes that a caller's line has come; false if the caller had to make room.
+func (d *adminServer) markReceived(conn net.Conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	x := d.callers[conn]
+	x := d.conns[conn]
 	if x != nil {
-		x.heard = true
+		x.received = true
 	}
 	return x != nil
 }
 
-// leave closes a caller's connection once its answer has arrived.
-func (d *adminServer) leave(conn net.Conn) {
-	awaitDelivery(conn)
+// closeConn closes a caller's connection once its answer has arrived.
+func (d *adminServer) closeConn(conn net.Conn) {
+	awaitAck(conn)
 	conn.Close()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.callers, conn)
+	delete(d.conns, conn)
 }
 
-// dismiss wakes those that have not sent their line.
-func (d *adminServer) dismiss() {
+// wakeSilent wakes those that have not sent their line.
+func (d *adminServer) wakeSilent() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for conn, x := range d.callers {
-		if !x.heard {
+	for conn, x := range d.conns {
+		if !x.received {
 			conn.SetReadDeadline(time.Unix(1, 0))
 		}
 	}
 }
 
 func (d *adminServer) handle(ctx context.Context, conn net.Conn) {
-	conn.SetDeadline(time.Now().Add(orderTime))
-	line, err := bufio.NewReaderSize(io.LimitReader(conn, orderLine), orderLine).ReadString('\n')
-	switch admitted := d.heard(conn); {
+	conn.SetDeadline(time.Now().Add(commandIOTimeout))
+	line, err := bufio.NewReaderSize(io.LimitReader(conn, maxCommandBytes), maxCommandBytes).ReadString('\n')
+	switch admitted := d.markReceived(conn); {
 	case !admitted && err != nil:
 		return // it made room, and nothing whole has come
 	case !admitted:
@@ -222,7 +222,7 @@
 		err = d.answer(ctx, strings.Fields(line))
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		err = errors.New("no call came in time")
-	case len(line) >= orderLine:
+	case len(line) >= maxCommandBytes:
 		err = errors.New("the call is too long")
 	default: // half a call might name another endpoint than the whole one
 		err = errors.New("the call has no end of line")
@@ -231,7 +231,7 @@
 	if err != nil {
 		said = "fail " + err.Error() + "\n"
 	}
-	conn.SetWriteDeadline(time.Now().Add(orderTime))
+	conn.SetWriteDeadline(time.Now().Add(commandIOTimeout))
 	if _, err := io.WriteString(conn, said); err != nil {
 		d.log.Warn("admin server", "err", err)
 	}
@@ -255,17 +255,17 @@
 		return errors.New("unknown call; there are ready, disable-server ID and enable-server ID")
 	}
 	if want == 1 {
-		return d.whyNot()
+		return d.readiness()
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderWait)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	answer := make(chan error, 1) // the loop never waits for us
 	select {
-	case d.orders <- order{back: words[0] == "enable-server", id: words[1], answer: answer}:
-	case <-d.gone:
-		return d.passOn(strings.Join(words, " "))
+	case d.commands <- operatorCommand{enable: words[0] == "enable-server", endpoint: words[1], answer: answer}:
+	case <-d.handedOver:
+		return d.forward(strings.Join(words, " "))
 	case <-ctx.Done():
-		return cmp.Or(d.whyNot(), errTooBusy)
+		return cmp.Or(d.readiness(), errTooBusy)
 	}
 	select {
 	case err := <-answer:
@@ -276,30 +276,30 @@
 	}
 }
 
-// obey carries out an operator's word. It holds once it is in the journal, so that it outlives the process; the
+// applyCommand carries out an operator's word. It holds once it is in the journal, so that it outlives the process; the
 // module hears of it before anything else happens.
-func (n *Node) obey(o order) {
-	ep, known := n.dir.Lookup(o.id)
+func (n *Node) applyCommand(o operatorCommand) {
+	ep, known := n.directory.Lookup(o.endpoint)
 	if !known {
 		o.answer <- errors.New("no such endpoint")
 		return
 	}
-	if out := n.journal.out[o.id]; out != o.back {
+	if out := n.journal.disabled[o.endpoint]; out != o.enable {
 		o.answer <- nil // it is so already
 		return
 	}
-	rec, ev := record{Op: opTakeOut, ID: o.id}, logic.Event(logic.Ban{Endpoint: ep})
-	if o.back {
-		rec, ev = record{Op: opPutBack, ID: o.id}, logic.Unban{Endpoint: ep}
+	rec, ev := record{Op: opDisableEndpoint, ID: o.endpoint}, logic.Event(logic.Ban{Endpoint: ep})
+	if o.enable {
+		rec, ev = record{Op: opEnableEndpoint, ID: o.endpoint}, logic.Unban{Endpoint: ep}
 	}
 	if err := n.journal.Append([]record{rec}); err != nil {
 		n.log.Error("journal", "err", err)
 		o.answer <- errors.New("not written to the journal")
 		return
 	}
-	if !o.back {
-		n.hold(func(x logic.EndpointID) bool { return x == ep })
+	if !o.enable {
+		n.withholdCalls(func(x logic.EndpointID) bool { return x == ep })
 	}
-	n.next = append(n.next, ev)
+	n.nextEvents = append(n.nextEvents, ev)
 	o.answer <- nil
 }
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -21,35 +21,35 @@
 )
 
 const (
-	maxAnswer  = 64 << 10               // head and body of an answer
-	headTime   = time.Second            // for the rest of an answer's head, once it has begun
-	bodyTime   = 20 * time.Millisecond  // for its body; a connection that is slower is not used again
-	lingerTime = 50 * time.Millisecond  // for the endpoint to see that a call is given up
-	idleMargin = 500 * time.Millisecond // a connection is not used this close to the end of its idle time
-	probeTime  = 1500 * time.Millisecond
+	maxResponseBytes = 64 << 10               // head and body of an answer
+	headerTimeout    = time.Second            // for the rest of an answer's head, once it has begun
+	bodyTimeout      = 20 * time.Millisecond  // for its body; a connection that is slower is not used again
+	cancelLingerTime = 50 * time.Millisecond  // for the endpoint to see that a call is given up
+	idleExpiryMargin = 500 * time.Millisecond // a connection is not used this close to the end of its idle time
+	probeTimeout     = 1500 * time.Millisecond
 )
 
 // call is one attempt, or a probe if it has no message.
 type call struct {
-	id      string
-	attempt int
-	ep      logic.EndpointID
-	addr    string
-	dest    int64
-	giveUp  time.Duration
-	at      time.Time // of its start
-	writeBy time.Time // not to be written after this; zero for no such time
-	request *http.Request
-	state   *atomic.Int32
-	kept    *idleConn                      // a connection to use; nil to make one
-	allow   func(ctx context.Context) bool // asked once a new connection is up; nil if nobody wants to know
+	id            string
+	attempt       int
+	endpoint      logic.EndpointID
+	addr          string
+	destination   int64
+	timeout       time.Duration
+	startedAt     time.Time // of its start
+	writeDeadline time.Time // not to be written after this; zero for no such time
+	request       *http.Request
+	state         *atomic.Int32
+	reusedConn    *endpointConn                  // a connection to use; nil to make one
+	mayWrite      func(ctx context.Context) bool // asked once a new connection is up; nil if nobody wants to know
 }
 
 // The states of a call. It goes from the first to one of the others, once.
 const (
 	callConnecting int32 = iota
 	callWritten          // from here on it may have run
-	callHeld             // it is not to be written
+	callWithheld         // it is not to be written
 	callSent             // after callWritten: all of it is
 	callParked           // after callSent: it is being set aside
 )
@@ -57,126 +57,126 @@
 // errParked is the cause by which a call under way is set aside for another process, its connection as it is.
 var errParked = errors.New("set aside")
 
-// unanswered names, in the tally, the ends of a call that no answer came to.
-var unanswered = map[logic.Outcome]string{logic.ConnBroken: "broken", logic.TimedOut: "timed_out", logic.Cancelled: "called_off"}
+// unansweredCountNames names, in the tally, the ends of a call that no answer came to.
+var unansweredCountNames = map[logic.Outcome]string{logic.ConnBroken: "broken", logic.TimedOut: "timed_out", logic.Cancelled: "called_off"}
 
 // errNoDescriptor ends a call for which no descriptor came free, or that this machine could not make: it says nothing of
 // the endpoint.
 var errNoDescriptor = errors.New("no connection can be made from here")
 
-// result is how a call ended.
-type result struct {
-	outcome logic.Outcome
-	wait    time.Duration // told by a refusal
-	over    bool          // the endpoint says that the message is over
-	report  string        // of its load, as it stands in the answer
-	parked  *idleConn     // set aside, with no outcome yet: what becomes of it is for who goes on with it
+// callResult is how a call ended.
+type callResult struct {
+	outcome      logic.Outcome
+	retryAfter   time.Duration // told by a refusal
+	messageEnded bool          // the endpoint says that the message is over
+	loadReport   string        // of its load, as it stands in the answer
+	parkedConn   *endpointConn // set aside, with no outcome yet: what becomes of it is for who goes on with it
 }
 
-// idleConn is a connection with no call on it.
-type idleConn struct {
+// endpointConn is a connection with no call on it.
+type endpointConn struct {
 	net.Conn
-	r     *bufio.Reader
-	limit *io.LimitedReader
-	addr  string
-	since time.Time
-	fds   atomic.Pointer[clients] // whose table counts it, until it is closed
+	reader    *bufio.Reader
+	readLimit *io.LimitedReader
+	addr      string
+	idleSince time.Time
+	countedBy atomic.Pointer[clients] // whose table counts it, until it is closed
 }
 
 // Close gives its descriptor back, once.
-func (conn *idleConn) Close() error {
+func (conn *endpointConn) Close() error {
 	err := conn.Conn.Close()
-	if fds := conn.fds.Swap(nil); fds != nil {
-		fds.endCall()
+	if fds := conn.countedBy.Swap(nil); fds != nil {
+		fds.releaseCallDescriptor()
 	}
 	return err
 }
 
-// caller makes calls over connections that it keeps. It never sends anything
+// transport makes calls over connections that it keeps. It never sends anything
 // twice, and it knows whether the last byte was written: that tells what never
 // ran from what may have run. net/http's transport does neither.
-type caller struct {
-	dialer      net.Dialer
-	linger      time.Duration
-	idleTime    time.Duration
-	perEndpoint int
-	most        int      // idle connections in all
-	fds         *clients // share the descriptors with our connections; nil if there are enough
-	mu          sync.Mutex
-	idle        map[logic.EndpointID][]*idleConn
-	count       int
-	tally       map[string]int // how calls went since the last report; a few fixed names
-}
-
-func newCaller(connectTime, idleTime time.Duration, perEndpoint, most int) *caller {
-	return &caller{dialer: net.Dialer{Timeout: connectTime}, linger: lingerTime, idleTime: idleTime, perEndpoint: max(perEndpoint, 1), most: max(most, 1),
-		idle: map[logic.EndpointID][]*idleConn{}, tally: map[string]int{}}
-}
-
-// note counts what became of a call, for the people on call.
-func (c *caller) note(what string) {
+type transport struct {
+	dialer             net.Dialer
+	linger             time.Duration
+	idleTimeout        time.Duration
+	maxIdlePerEndpoint int
+	maxIdle            int      // idle connections in all
+	clients            *clients // share the descriptors with our connections; nil if there are enough
+	mu                 sync.Mutex
+	idle               map[logic.EndpointID][]*endpointConn
+	idleTotal          int
+	counts             map[string]int // how calls went since the last report; a few fixed names
+}
+
+func newTransport(connectTime, idleTime time.Duration, perEndpoint, most int) *transport {
+	return &transport{dialer: net.Dialer{Timeout: connectTime}, linger: cancelLingerTime, idleTimeout: idleTime, maxIdlePerEndpoint: max(perEndpoint, 1), maxIdle: max(most, 1),
+		idle: map[logic.EndpointID][]*endpointConn{}, counts: map[string]int{}}
+}
+
+// countEvent counts what became of a call, for the people on call.
+func (c *transport) countEvent(what string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally[what]++
+	c.counts[what]++
 }
 
-// report returns the tally since the last report, as names and counts in order of name.
-func (c *caller) report() []any {
+// takeCounts returns the tally since the last report, as names and counts in order of name.
+func (c *transport) takeCounts() []any {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := make([]any, 0, 2*len(c.tally))
-	for _, name := range slices.Sorted(maps.Keys(c.tally)) {
-		out = append(out, name, c.tally[name])
+	out := make([]any, 0, 2*len(c.counts))
+	for _, name := range slices.Sorted(maps.Keys(c.counts)) {
+		out = append(out, name, c.counts[name])
 	}
-	clear(c.tally)
+	clear(c.counts)
 	return out
 }
 
 // do makes a call. When ctx is cancelled the call is called off.
-func (c *caller) do(ctx context.Context, in *call) result {
-	deadline := in.at.Add(in.giveUp)
+func (c *transport) do(ctx context.Context, in *call) callResult {
+	deadline := in.startedAt.Add(in.timeout)
 	conn, err := c.connect(ctx, in, deadline)
 	if errors.Is(err, errNoDescriptor) { // which speaks against no endpoint
-		in.state.CompareAndSwap(callConnecting, callHeld)
+		in.state.CompareAndSwap(callConnecting, callWithheld)
 	}
-	if err == nil && conn != in.kept && in.allow != nil && !in.allow(ctx) {
-		in.state.CompareAndSwap(callConnecting, callHeld)
+	if err == nil && conn != in.reusedConn && in.mayWrite != nil && !in.mayWrite(ctx) {
+		in.state.CompareAndSwap(callConnecting, callWithheld)
 	}
-	late := !in.writeBy.IsZero() && time.Now().After(in.writeBy)
+	late := !in.writeDeadline.IsZero() && time.Now().After(in.writeDeadline)
 	if late || err == nil && ctx.Err() != nil {
-		in.state.CompareAndSwap(callConnecting, callHeld)
+		in.state.CompareAndSwap(callConnecting, callWithheld)
 	}
 	if !in.state.CompareAndSwap(callConnecting, callWritten) {
-		if err == nil && !c.put(in.ep, conn) {
+		if err == nil && !c.putIdle(in.endpoint, conn) {
 			conn.Close()
 		}
-		return result{outcome: logic.NotSent}
+		return callResult{outcome: logic.NotSent}
 	}
 	if err != nil {
-		c.note("not_connected")
-		return result{outcome: logic.ConnRefused}
+		c.countEvent("not_connected")
+		return callResult{outcome: logic.ConnRefused}
 	}
 	conn.SetDeadline(deadline)
-	quiet := wakeOn(ctx, conn)
+	quiet := interruptOnCancel(ctx, conn)
 	var b bytes.Buffer
 	if err := in.request.Write(&b); err != nil {
 		quiet()
 		conn.Close()
-		return result{outcome: logic.ConnRefused}
+		return callResult{outcome: logic.ConnRefused}
 	}
 	_, err = conn.Write(b.Bytes())
 	quiet()
 	if err != nil {
 		conn.Close()
-		c.note("not_written")
-		return result{outcome: logic.ConnRefused} // its last byte was not written
+		c.countEvent("not_written")
+		return callResult{outcome: logic.ConnRefused} // its last byte was not written
 	}
 	in.state.Store(callSent)
-	return c.await(ctx, in, conn, deadline)
+	return c.awaitResponse(ctx, in, conn, deadline)
 }
 
-// wakeOn ends what is read or written on conn once ctx is cancelled, until the returned function has been called.
-func wakeOn(ctx context.Context, conn net.Conn) (quiet func()) {
+// interruptOnCancel ends what is read or written on conn once ctx is cancelled, until the returned function has been called.
+func interruptOnCancel(ctx context.Context, conn net.Conn) (quiet func()) {
 	woken := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		conn.SetDeadline(time.Unix(1, 0))
@@ -189,22 +189,22 @@
 	}
 }
 
-// await waits for the answer to a call that has been written.
-func (c *caller) await(ctx context.Context, in *call, conn *idleConn, deadline time.Time) (r result) {
-	c.own(conn)
+// awaitResponse waits for the answer to a call that has been written.
+func (c *transport) awaitResponse(ctx context.Context, in *call, conn *endpointConn, deadline time.Time) (r callResult) {
+	c.countConn(conn)
 	keep := false
 	defer func() {
-		if r.parked == nil && (!keep || !c.put(in.ep, conn)) {
+		if r.parkedConn == nil && (!keep || !c.putIdle(in.endpoint, conn)) {
 			conn.Close()
 		}
 	}()
 	conn.SetDeadline(deadline)
-	quiet := wakeOn(ctx, conn)
-	conn.limit.N = maxAnswer
-	_, err := conn.r.Peek(1)
+	quiet := interruptOnCancel(ctx, conn)
+	conn.readLimit.N = maxResponseBytes
+	_, err := conn.reader.Peek(1)
 	quiet()
 	if isTimeout(err) && errors.Is(context.Cause(ctx), errParked) && time.Now().Before(deadline) {
-		return result{parked: conn}
+		return callResult{parkedConn: conn}
 	}
 	given := logic.ConnBroken
 	if isTimeout(err) {
@@ -218,65 +218,65 @@
 			t.CloseWrite()
 		}
 		conn.SetDeadline(time.Now().Add(c.linger))
-		_, err = conn.r.Peek(1)
+		_, err = conn.reader.Peek(1)
 	}
 	if err != nil {
-		c.note(unanswered[given])
-		return result{outcome: given}
+		c.countEvent(unansweredCountNames[given])
+		return callResult{outcome: given}
 	}
-	conn.SetDeadline(time.Now().Add(headTime))
+	conn.SetDeadline(time.Now().Add(headerTimeout))
 	if given == logic.ConnBroken {
-		if c.headParked(ctx, conn) {
-			return result{parked: conn}
+		if c.awaitHeader(ctx, conn) {
+			return callResult{parkedConn: conn}
 		}
 		if ctx.Err() != nil { // called off with half a head: the rest has a moment, as any answer on its way
 			given = logic.Cancelled
 			conn.SetDeadline(time.Now().Add(c.linger))
 		}
 	}
-	delivered := saysDelivered(conn.r)
-	resp, err := http.ReadResponse(conn.r, in.request)
+	delivered := peekStatusOK(conn.reader)
+	resp, err := http.ReadResponse(conn.reader, in.request)
 	for err == nil && resp.StatusCode/100 == 1 && resp.StatusCode != http.StatusSwitchingProtocols {
-		delivered = saysDelivered(conn.r)
-		resp, err = http.ReadResponse(conn.r, in.request) // an interim answer; the outcome is yet to come
+		delivered = peekStatusOK(conn.reader)
+		resp, err = http.ReadResponse(conn.reader, in.request) // an interim answer; the outcome is yet to come
 	}
 	if err != nil && delivered {
-		c.note("unreadable_200")
-		return result{outcome: logic.Completed} // the first line is true, whatever broke off after it
+		c.countEvent("unreadable_200")
+		return callResult{outcome: logic.Completed} // the first line is true, whatever broke off after it
 	}
 	if err != nil {
-		c.note("unreadable")
-		return result{outcome: given}
+		c.countEvent("unreadable")
+		return callResult{outcome: given}
 	}
-	c.note(statusName(resp.StatusCode))
+	c.countEvent(statusCountName(resp.StatusCode))
 	if given == logic.ConnBroken {
-		keep = c.finish(conn, resp)
+		keep = c.drainBody(conn, resp)
 	}
-	r = outcomeOf(resp)
-	r.report = resp.Header.Get("Endpoint-Load-Metrics")
+	r = resultOf(resp)
+	r.loadReport = resp.Header.Get("Endpoint-Load-Metrics")
 	return r
 }
 
-// headParked waits until the head of an answer is there, or has broken off, without taking any of it; true if the call
+// awaitHeader waits until the head of an answer is there, or has broken off, without taking any of it; true if the call
 // is set aside meanwhile. An answer that has begun may take its time, and a handover must not wait for that.
-func (c *caller) headParked(ctx context.Context, conn *idleConn) bool {
-	by := time.Now().Add(headTime)
-	quiet := wakeOn(ctx, conn)
+func (c *transport) awaitHeader(ctx context.Context, conn *endpointConn) bool {
+	by := time.Now().Add(headerTimeout)
+	quiet := interruptOnCancel(ctx, conn)
 	var err error
 	for err == nil {
-		b, _ := conn.r.Peek(conn.r.Buffered())
-		if bytes.Contains(b, []byte("\r\n\r\n")) || len(b) == conn.r.Size() {
+		b, _ := conn.reader.Peek(conn.reader.Buffered())
+		if bytes.Contains(b, []byte("\r\n\r\n")) || len(b) == conn.reader.Size() {
 			break
 		}
-		_, err = conn.r.Peek(len(b) + 1)
+		_, err = conn.reader.Peek(len(b) + 1)
 	}
 	quiet()
 	conn.SetDeadline(by)
 	return isTimeout(err) && errors.Is(context.Cause(ctx), errParked) && time.Now().Before(by)
 }
 
-// saysDelivered looks at the first line of an answer that is about to be read, and says whether its status is 200.
-func saysDelivered(r *bufio.Reader) bool {
+// peekStatusOK looks at the first line of an answer that is about to be read, and says whether its status is 200.
+func peekStatusOK(r *bufio.Reader) bool {
 	const line = "HTTP/1.1 200"
 	b, err := r.Peek(len(line) + 1)
 	if len(b) < len(line) || string(b[:7]) != line[:7] || string(b[8:len(line)]) != line[8:] {
@@ -287,89 +287,89 @@
 
 // connect takes the connection that the call was given, or makes one. Where nobody has to be asked for leave it looks
 // for a kept one first.
-func (c *caller) connect(ctx context.Context, in *call, deadline time.Time) (*idleConn, error) {
-	kept := in.kept
-	if kept == nil && in.allow == nil {
-		kept = c.take(in.ep, in.addr)
+func (c *transport) connect(ctx context.Context, in *call, deadline time.Time) (*endpointConn, error) {
+	kept := in.reusedConn
+	if kept == nil && in.mayWrite == nil {
+		kept = c.takeIdle(in.endpoint, in.addr)
 	}
 	if kept != nil {
-		c.note("reused")
+		c.countEvent("reused")
 		return kept, nil
 	}
-	c.note("dialed")
+	c.countEvent("dialed")
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	if err := c.waitDescriptor(ctx); err != nil {
+	if err := c.acquireDescriptor(ctx); err != nil {
 		return nil, err
 	}
 	dialed, err := c.dialer.DialContext(ctx, "tcp", in.addr)
-	for isLocal(err) && ctx.Err() == nil { // nothing was sent, so it is the same attempt still
-		c.note("local_failure")
-		pauseFor(ctx, localPause)
+	for isLocalError(err) && ctx.Err() == nil { // nothing was sent, so it is the same attempt still
+		c.countEvent("local_failure")
+		sleepContext(ctx, localRetryDelay)
 		dialed, err = c.dialer.DialContext(ctx, "tcp", in.addr)
 	}
 	if err != nil {
-		if c.fds != nil {
-			c.fds.endCall()
+		if c.clients != nil {
+			c.clients.releaseCallDescriptor()
 		}
-		if isLocal(err) {
+		if isLocalError(err) {
 			err = fmt.Errorf("%w: %w", errNoDescriptor, err)
 		}
 		return nil, err
 	}
-	conn := newIdleConn(dialed, in.addr)
-	conn.fds.Store(c.fds)
+	conn := newEndpointConn(dialed, in.addr)
+	conn.countedBy.Store(c.clients)
 	return conn, nil
 }
 
-// localPause is the time between two tries to connect that fail on this machine.
-const localPause = 100 * time.Millisecond
+// localRetryDelay is the time between two tries to connect that fail on this machine.
+const localRetryDelay = 100 * time.Millisecond
 
 // localErrors are failures to connect that are this machine's own: they speak against no endpoint, and pass.
 var localErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 	syscall.EAGAIN, syscall.ENETUNREACH, syscall.ENETDOWN}
 
-func isLocal(err error) bool {
+func isLocalError(err error) bool {
 	return slices.ContainsFunc(localErrors, func(local error) bool { return errors.Is(err, local) })
 }
 
-// pauseFor waits for a while, or until ctx is over.
-func pauseFor(ctx context.Context, span time.Duration) {
+// sleepContext waits for a while, or until ctx is over.
+func sleepContext(ctx context.Context, span time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(span):
 	}
 }
 
-// waitDescriptor takes a descriptor for a new connection, if need be in place of one that is of less use. A client that
+// acquireDescriptor takes a descriptor for a new connection, if need be in place of one that is of less use. A client that
 // may be about to send its first request is of less use only once the call has waited.
-func (c *caller) waitDescriptor(ctx context.Context) error {
-	began, dearest := time.Now(), rankStalled
-	for c.fds != nil && !c.fds.beginCall(dearest) {
-		if time.Since(began) > stallTime {
-			dearest = rankNew
+func (c *transport) acquireDescriptor(ctx context.Context) error {
+	began, dearest := time.Now(), evictionRankStalled
+	for c.clients != nil && !c.clients.acquireCallDescriptor(dearest) {
+		if time.Since(began) > stallTimeout {
+			dearest = evictionRankNew
 		}
-		if c.dropOldest() {
+		if c.closeOldestIdle() {
 			continue
 		}
 		select {
 		case <-ctx.Done():
-			c.note("no_descriptor")
+			c.countEvent("no_descriptor")
 			return errNoDescriptor
-		case <-time.After(acceptPause):
+		case <-time.After(shortRetryDelay):
 		}
 	}
 	return nil
 }
 
-// dropOldest closes the connection that has stood idle longest; false if there is none.
-func (c *caller) dropOldest() bool {
+// closeOldestIdle closes the connection that has stood idle longest; false if there is none.
+func (c *transport) closeOldestIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var of logic.EndpointID
-	var oldest *idleConn
+	var oldest *endpointConn
 	for ep, list := range c.idle {
-		if len(list) > 0 && (oldest == nil || list[0].since.Before(oldest.since)) {
+		if len(list) > 0 && (oldest == nil || list[0].idleSince.Before(oldest.idleSince)) {
 			of, oldest = ep, list[0]
 		}
 	}
@@ -377,63 +377,65 @@
 		return false
 	}
 	c.idle[of] = c.idle[of][1:]
-	c.count--
+	c.idleTotal--
 	oldest.Close()
 	return true
 }
 
-// own counts a connection that another process has handed over.
-func (c *caller) own(conn *idleConn) {
-	if c.fds != nil && conn.fds.CompareAndSwap(nil, c.fds) {
-		c.fds.addCall()
+// countConn counts a connection that another process has handed over.
+func (c *transport) countConn(conn *endpointConn) {
+	if c.clients != nil && conn.countedBy.CompareAndSwap(nil, c.clients) {
+		c.clients.addCallDescriptor()
 	}
 }
 
-func newIdleConn(conn net.Conn, addr string) *idleConn { return begunConn(conn, addr, nil) }
+func newEndpointConn(conn net.Conn, addr string) *endpointConn {
+	return newEndpointConnWithData(conn, addr, nil)
+}
 
-// begunConn is a connection on which a part of an answer has come already.
-func begunConn(conn net.Conn, addr string, got []byte) *idleConn {
+// newEndpointConnWithData is a connection on which a part of an answer has come already.
+func newEndpointConnWithData(conn net.Conn, addr string, got []byte) *endpointConn {
 	limit := &io.LimitedReader{R: io.MultiReader(bytes.NewReader(got), conn)}
-	return &idleConn{Conn: conn, r: bufio.NewReader(limit), limit: limit, addr: addr}
+	return &endpointConn{Conn: conn, reader: bufio.NewReader(limit), readLimit: limit, addr: addr}
 }
 
-// finish reads the rest of an answer and says whether the connection can be used again.
-func (c *caller) finish(conn *idleConn, resp *http.Response) bool {
+// drainBody reads the rest of an answer and says whether the connection can be used again.
+func (c *transport) drainBody(conn *endpointConn, resp *http.Response) bool {
 	if resp.Close || resp.StatusCode == http.StatusSwitchingProtocols {
 		return false
 	}
-	conn.SetDeadline(time.Now().Add(bodyTime))
+	conn.SetDeadline(time.Now().Add(bodyTimeout))
 	_, err := io.Copy(io.Discard, resp.Body)
-	return err == nil && conn.r.Buffered() == 0
+	return err == nil && conn.reader.Buffered() == 0
 }
 
-// outcomeOf reads an answer.
-func outcomeOf(resp *http.Response) result {
+// resultOf reads an answer.
+func resultOf(resp *http.Response) callResult {
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return result{outcome: logic.Completed}
+		return callResult{outcome: logic.Completed}
 	case http.StatusTooManyRequests:
 		ms, err := strconv.ParseInt(resp.Header.Get("X-Come-Back-Ms"), 10, 64)
 		if err != nil || ms < 0 {
 			ms = 0
 		}
-		return result{outcome: logic.Rejected, wait: time.Duration(min(ms, maxHold.Milliseconds())) * time.Millisecond}
+		return callResult{outcome: logic.Rejected, retryAfter: time.Duration(min(ms, maxPeerDuration.Milliseconds())) * time.Millisecond}
 	case http.StatusServiceUnavailable:
 		if resp.Header.Get("X-Line-Busy") == "1" {
-			return result{outcome: logic.NotSent}
+			return callResult{outcome: logic.NotSent}
 		}
-		return result{outcome: logic.Rejected}
+		return callResult{outcome: logic.Rejected}
 	case http.StatusGatewayTimeout:
-		return result{outcome: logic.NotSent}
+		return callResult{outcome: logic.NotSent}
 	case http.StatusGone:
-		return result{outcome: logic.NotSent, over: true}
+		return callResult{outcome: logic.NotSent, messageEnded: true}
 	}
-	return result{outcome: logic.Errored}
+	return callResult{outcome: logic.Errored}
 }
 
-// statusName names an answer in the tally; what the protocol does not know shares a name, so that the tally stays
+// statusCountName names an answer in the tally; what the protocol does not know shares a name, so that the tally stays
 // small.
-func statusName(code int) string {
+func statusCountName(code int) string {
 	switch code {
 	case 200, 410, 429, 500, 503, 504:
 		return "answer_" + strconv.Itoa(code)
@@ -446,15 +448,15 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// take returns the kept connection to ep that was used last, if it is still good.
-func (c *caller) take(ep logic.EndpointID, addr string) *idleConn {
+// takeIdle returns the kept connection to ep that was used last, if it is still good.
+func (c *transport) takeIdle(ep logic.EndpointID, addr string) *endpointConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for list := c.idle[ep]; len(list) > 0; list = c.idle[ep] {
 		conn := list[len(list)-1]
 		c.idle[ep] = list[:len(list)-1]
-		c.count--
-		if conn.addr == addr && c.good(conn) {
+		c.idleTotal--
+		if conn.addr == addr && c.reusable(conn) {
 			return conn
 		}
 		conn.Close()
@@ -462,70 +464,70 @@
 	return nil
 }
 
-// good says whether a kept connection may carry a call: neither about to be closed
+// reusable says whether a kept connection may carry a call: neither about to be closed
 // for its age nor closed already, nor with an answer on it that nobody asked for.
-func (c *caller) good(conn *idleConn) bool {
-	if time.Since(conn.since) > c.idleTime-min(idleMargin, c.idleTime/4) {
+func (c *transport) reusable(conn *endpointConn) bool {
+	if time.Since(conn.idleSince) > c.idleTimeout-min(idleExpiryMargin, c.idleTimeout/4) {
 		return false
 	}
-	alive, data := peek(conn.Conn)
+	alive, data := peekConn(conn.Conn)
 	return alive && !data
 }
 
-// put keeps a connection for the next call; false if there is no room.
-func (c *caller) put(ep logic.EndpointID, conn *idleConn) bool {
+// putIdle keeps a connection for the next call; false if there is no room.
+func (c *transport) putIdle(ep logic.EndpointID, conn *endpointConn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.idle[ep]) >= c.perEndpoint || c.count >= c.most {
+	if len(c.idle[ep]) >= c.maxIdlePerEndpoint || c.idleTotal >= c.maxIdle {
 		return false
 	}
-	c.own(conn)
-	conn.since = time.Now()
+	c.countConn(conn)
+	conn.idleSince = time.Now()
 	conn.SetDeadline(time.Time{})
 	c.idle[ep] = append(c.idle[ep], conn)
-	c.count++
+	c.idleTotal++
 	return true
 }
 
-// takeIdle takes all idle connections out.
-func (c *caller) takeIdle() map[logic.EndpointID][]*idleConn {
+// takeAllIdle takes all idle connections out.
+func (c *transport) takeAllIdle() map[logic.EndpointID][]*endpointConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	all := c.idle
-	c.idle, c.count = map[logic.EndpointID][]*idleConn{}, 0
+	c.idle, c.idleTotal = map[logic.EndpointID][]*endpointConn{}, 0
 	return all
 }
 
-// kept is the number of idle connections.
-func (c *caller) kept() int {
+// idleCount is the number of idle connections.
+func (c *transport) idleCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.count
+	return c.idleTotal
 }
 
-// release closes the kept connections to ep.
-func (c *caller) release(ep logic.EndpointID) {
+// closeIdle closes the kept connections to ep.
+func (c *transport) closeIdle(ep logic.EndpointID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, conn := range c.idle[ep] {
 		conn.Close()
-		c.count--
+		c.idleTotal--
 	}
 	delete(c.idle, ep)
 }
 
-// sweep closes kept connections that are no good any more.
-func (c *caller) sweep() {
+// closeStale closes kept connections that are no good any more.
+func (c *transport) closeStale() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for ep, list := range c.idle {
 		kept := list[:0]
 		for _, conn := range list {
-			if c.good(conn) {
+			if c.reusable(conn) {
 				kept = append(kept, conn)
 			} else {
 				conn.Close()
-				c.count--
+				c.idleTotal--
 			}
 		}
 		if c.idle[ep] = kept; len(kept) == 0 {
@@ -534,21 +536,21 @@
 	}
 }
 
-// deliverRequest is the request that hands m to an endpoint.
-func deliverRequest(m *Message, addr string, giveUp time.Duration) (*http.Request, error) {
+// newDeliveryRequest is the request that hands m to an endpoint.
+func newDeliveryRequest(m *Message, addr string, giveUp time.Duration) (*http.Request, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+"/inbox", bytes.NewReader(m.Body))
 	if err != nil {
 		return nil, fmt.Errorf("request to %s: %w", addr, err)
 	}
 	req.Header.Set("X-Trace-Id", m.ID)
-	if m.Key != "" {
-		req.Header.Set("Idempotency-Key", m.Key)
+	if m.IdempotencyKey != "" {
+		req.Header.Set("Idempotency-Key", m.IdempotencyKey)
 	}
 	req.Header.Set("X-Expires-In-Ms", strconv.FormatInt(max(giveUp.Milliseconds(), 1), 10))
 	return req, nil
 }
 
-// probeRequest asks an endpoint whether it is well.
-func probeRequest(addr string) (*http.Request, error) {
+// newProbeRequest asks an endpoint whether it is well.
+func newProbeRequest(addr string) (*http.Request, error) {
 	return http.NewRequest(http.MethodGet, "http://"+addr+"/alive", nil)
 }
--- a/internal/node/calls_test.go
+++ b/internal/node/calls_test.go
@@ -14,49 +14,49 @@
 	"crossdeal/logic"
 )
 
-func newCall(t *testing.T, addr, body string, giveUp time.Duration) *call {
+func newTestCall(t *testing.T, addr, body string, giveUp time.Duration) *call {
 	t.Helper()
-	m := &Message{ID: "m1", Key: "k1", Body: []byte(body)}
-	req, err := deliverRequest(m, addr, giveUp)
+	m := &Message{ID: "m1", IdempotencyKey: "k1", Body: []byte(body)}
+	req, err := newDeliveryRequest(m, addr, giveUp)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &call{id: m.ID, ep: 1, addr: addr, at: time.Now(), giveUp: giveUp, request: req, state: new(atomic.Int32)}
+	return &call{id: m.ID, endpoint: 1, addr: addr, startedAt: time.Now(), timeout: giveUp, request: req, state: new(atomic.Int32)}
 }
 
-func testCaller() *caller { return newCaller(time.Second, 10*time.Second, 4, 16) }
+func newTestTransport() *transport { return newTransport(time.Second, 10*time.Second, 4, 16) }
 
-// goDo makes a call in the background.
-func goDo(ctx context.Context, c *caller, in *call) <-chan result {
-	ch := make(chan result, 1)
+// doInBackground makes a call in the background.
+func doInBackground(ctx context.Context, c *transport, in *call) <-chan callResult {
+	ch := make(chan callResult, 1)
 	go func() { ch <- c.do(ctx, in) }()
 	return ch
 }
 
 // An answer that is read as the wrong outcome resends what may have run, or gives up what never ran.
-func TestAnswers(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
+func TestOutcomeOfEachAnswer(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
 	for _, x := range []struct {
 		status  int
 		headers []string
-		want    result
+		want    callResult
 	}{
-		{200, nil, result{outcome: logic.Completed}},
-		{500, nil, result{outcome: logic.Errored}},
-		{400, nil, result{outcome: logic.Errored}},
-		{429, []string{"X-Come-Back-Ms: 250"}, result{outcome: logic.Rejected, wait: 250 * time.Millisecond}},
-		{429, []string{"X-Come-Back-Ms: -1"}, result{outcome: logic.Rejected}},
-		{429, []string{"X-Come-Back-Ms: soon"}, result{outcome: logic.Rejected}},
-		{503, nil, result{outcome: logic.Rejected}},
-		{503, []string{"X-Line-Busy: 1"}, result{outcome: logic.NotSent}},
-		{504, nil, result{outcome: logic.NotSent}},
-		{410, nil, result{outcome: logic.NotSent, over: true}},
+		{200, nil, callResult{outcome: logic.Completed}},
+		{500, nil, callResult{outcome: logic.Errored}},
+		{400, nil, callResult{outcome: logic.Errored}},
+		{429, []string{"X-Come-Back-Ms: 250"}, callResult{outcome: logic.Rejected, retryAfter: 250 * time.Millisecond}},
+		{429, []string{"X-Come-Back-Ms: -1"}, callResult{outcome: logic.Rejected}},
+		{429, []string{"X-Come-Back-Ms: soon"}, callResult{outcome: logic.Rejected}},
+		{503, nil, callResult{outcome: logic.Rejected}},
+		{503, []string{"X-Line-Busy: 1"}, callResult{outcome: logic.NotSent}},
+		{504, nil, callResult{outcome: logic.NotSent}},
+		{410, nil, callResult{outcome: logic.NotSent, messageEnded: true}},
 	} {
-		got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
+		got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
 		in := await(t, e.calls, "call")
-		if in.body != "hello" || in.id() != "m1" || in.req.Header.Get("Idempotency-Key") != "k1" ||
-			in.req.Header.Get("X-Expires-In-Ms") != "20000" || in.req.URL.Path != "/inbox" {
-			t.Fatalf("request went out changed: %+v %q", in.req, in.body)
+		if in.body != "hello" || in.id() != "m1" || in.request.Header.Get("Idempotency-Key") != "k1" ||
+			in.request.Header.Get("X-Expires-In-Ms") != "20000" || in.request.URL.Path != "/inbox" {
+			t.Fatalf("request went out changed: %+v %q", in.request, in.body)
 		}
 		in.reply(x.status, x.headers...)
 		if r := await(t, got, "result"); r != x.want {
@@ -69,7 +69,7 @@
 }
 
 // A break before the last byte proves that the call never ran; nothing may be taken for more than it is.
-func TestBreakBeforeLastByte(t *testing.T) {
+func TestBreakBeforeLastByteCountsAsRefused(t *testing.T) {
 	small := func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4096)
@@ -82,10 +82,10 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	c := testCaller()
+	c := newTestTransport()
 	c.dialer.Control = small
 	// Far more than both buffers hold, so that the last byte cannot have been written.
-	got := goDo(t.Context(), c, newCall(t, ln.Addr().String(), strings.Repeat("x", 8<<20), patience))
+	got := doInBackground(t.Context(), c, newTestCall(t, ln.Addr().String(), strings.Repeat("x", 8<<20), testTimeout))
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -101,18 +101,18 @@
 }
 
 // After the last byte it may have run, however the connection ends.
-func TestBreakAfterLastByte(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
-	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
+func TestBreakAfterLastByteCountsAsSevered(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
 	await(t, e.calls, "call").reset()
 	if r := await(t, got, "result"); r.outcome != logic.ConnBroken {
 		t.Errorf("reset: got %+v, want Severed", r)
 	}
-	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
+	got = doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
 	in := await(t, e.calls, "call")
 	io.WriteString(in.conn, "HTTP/1.1 2")
 	in.conn.Close()
-	in.done <- false
+	in.keepReading <- false
 	if r := await(t, got, "result"); r.outcome != logic.ConnBroken {
 		t.Errorf("half an answer: got %+v, want Severed", r)
 	}
@@ -120,29 +120,29 @@
 
 // A port that nobody listens on.
 func TestConnectionRefused(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
-	e.ln.Close()
-	if r := c.do(t.Context(), newCall(t, e.addr(), "hello", patience)); r.outcome != logic.ConnRefused {
+	e, c := newTestEndpoint(t), newTestTransport()
+	e.listener.Close()
+	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.ConnRefused {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 }
 
 // A connection that the endpoint has closed, or that is about to be closed for its age, would turn the next call
 // into a reset, which an unsafe message does not survive.
-func TestStaleConnection(t *testing.T) {
-	e, c := newEndpoint(t), newCaller(time.Second, time.Hour, 4, 16)
-	call := func(end func(*inCall)) {
+func TestStaleIdleConnectionIsNotReused(t *testing.T) {
+	e, c := newTestEndpoint(t), newTransport(time.Second, time.Hour, 4, 16)
+	call := func(end func(*receivedCall)) {
 		t.Helper()
-		got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
+		got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
 		end(await(t, e.calls, "call"))
 		if r := await(t, got, "result"); r.outcome != logic.Completed {
 			t.Fatalf("got %+v, want Completed", r)
 		}
 	}
-	call(func(in *inCall) { in.replyAndClose(200) })
-	for stop := time.Now().Add(patience); ; { // until the end of the connection has come
+	call(func(in *receivedCall) { in.replyAndClose(200) })
+	for stop := time.Now().Add(testTimeout); ; { // until the end of the connection has come
 		c.mu.Lock()
-		gone := len(c.idle[1]) == 0 || !c.good(c.idle[1][0])
+		gone := len(c.idle[1]) == 0 || !c.reusable(c.idle[1][0])
 		c.mu.Unlock()
 		if gone {
 			break
@@ -151,108 +151,108 @@
 			t.Fatal("the closed connection stays good")
 		}
 	}
-	call(func(in *inCall) { in.reply(200) })
+	call(func(in *receivedCall) { in.reply(200) })
 	if n := len(e.conns); n != 2 {
 		t.Fatalf("%d connections, want a second after the first was closed", n)
 	}
 	c.mu.Lock()
-	c.idle[1][0].since = time.Now().Add(200*time.Millisecond - time.Hour)
+	c.idle[1][0].idleSince = time.Now().Add(200*time.Millisecond - time.Hour)
 	c.mu.Unlock()
-	call(func(in *inCall) { in.reply(200) })
+	call(func(in *receivedCall) { in.reply(200) })
 	if n := len(e.conns); n != 3 {
 		t.Fatalf("%d connections, want a third after the second grew old", n)
 	}
 	c.mu.Lock()
-	c.idle[1][0].since = time.Now().Add(-2 * time.Hour)
+	c.idle[1][0].idleSince = time.Now().Add(-2 * time.Hour)
 	c.mu.Unlock()
-	c.sweep()
-	if c.count != 0 || len(c.idle) != 0 {
+	c.closeStale()
+	if c.idleTotal != 0 || len(c.idle) != 0 {
 		t.Errorf("an old connection is kept after a sweep")
 	}
 }
 
 // A call that is given up must be over for the endpoint too before its outcome is told: the next attempt would be
 // a second copy.
-func TestGiveUp(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
-	c.linger = 2 * patience // only the endpoint's own end of the call can cut it short
+func TestCallIsOverForEndpointBeforeOutcome(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	c.linger = 2 * testTimeout // only the endpoint's own end of the call can cut it short
 	ctx, cancel := context.WithCancel(t.Context())
-	got := goDo(ctx, c, newCall(t, e.addr(), "hello", patience))
+	got := doInBackground(ctx, c, newTestCall(t, e.addr(), "hello", testTimeout))
 	in := await(t, e.calls, "call")
 	cancel()
-	in.awaitEnd(t)
+	in.awaitClose(t)
 	in.reset()
 	if r := await(t, got, "result"); r.outcome != logic.Cancelled {
 		t.Errorf("cancelled: got %+v, want Recalled", r)
 	}
-	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", 30*time.Millisecond))
+	got = doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", 30*time.Millisecond))
 	in = await(t, e.calls, "call")
-	in.awaitEnd(t)
+	in.awaitClose(t)
 	in.reset()
 	if r := await(t, got, "result"); r.outcome != logic.TimedOut {
 		t.Errorf("timed out: got %+v, want Overdue", r)
 	}
 	ctx, cancel = context.WithCancel(t.Context())
-	got = goDo(ctx, c, newCall(t, e.addr(), "hello", patience))
+	got = doInBackground(ctx, c, newTestCall(t, e.addr(), "hello", testTimeout))
 	in = await(t, e.calls, "call")
 	cancel()
-	in.awaitEnd(t)
+	in.awaitClose(t)
 	in.reply(200)
 	if r := await(t, got, "result"); r.outcome != logic.Completed {
 		t.Errorf("answered while it was given up: got %+v, want Completed", r)
 	}
 	c.linger = time.Millisecond // an endpoint that does not react
-	got = goDo(t.Context(), c, newCall(t, e.addr(), "hello", 30*time.Millisecond))
+	got = doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", 30*time.Millisecond))
 	in = await(t, e.calls, "call")
 	if r := await(t, got, "result"); r.outcome != logic.TimedOut {
 		t.Errorf("silent: got %+v, want Overdue", r)
 	}
-	in.awaitEnd(t)
-	if c.count != 0 {
-		t.Errorf("%d connections kept after calls that were given up", c.count)
+	in.awaitClose(t)
+	if c.idleTotal != 0 {
+		t.Errorf("%d connections kept after calls that were given up", c.idleTotal)
 	}
 }
 
 // A call that still connects when it is called off has not run.
-func TestGiveUpWhileConnecting(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
+func TestCallCancelledWhileConnectingIsNotSent(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
 	ctx, cancel := context.WithCancel(t.Context())
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { cancel(); return nil }
-	if r := c.do(ctx, newCall(t, e.addr(), "hello", patience)); r.outcome != logic.ConnRefused {
+	if r := c.do(ctx, newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.ConnRefused {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // A wait or a drain that becomes known while a call connects binds it: it must not be written afterwards.
-func TestHeldWhileConnecting(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
-	in := newCall(t, e.addr(), "hello", patience)
+func TestCallWithheldWhileConnectingIsNotSent(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	in := newTestCall(t, e.addr(), "hello", testTimeout)
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
-		in.state.CompareAndSwap(callConnecting, callHeld)
+		in.state.CompareAndSwap(callConnecting, callWithheld)
 		return nil
 	}
 	if r := c.do(t.Context(), in); r.outcome != logic.NotSent {
 		t.Errorf("got %+v, want Moot", r)
 	}
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // Connecting takes time: a repeat that would be written after the destination has forgotten its key is not made.
-func TestWriteBy(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
-	in := newCall(t, e.addr(), "hello", patience)
-	in.writeBy = time.Now().Add(-time.Millisecond)
+func TestCallPastWriteDeadlineIsNotSent(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	in := newTestCall(t, e.addr(), "hello", testTimeout)
+	in.writeDeadline = time.Now().Add(-time.Millisecond)
 	if r := c.do(t.Context(), in); r.outcome != logic.NotSent {
 		t.Errorf("got %+v, want Moot", r)
 	}
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // An interim answer is not the outcome.
-func TestInterimAnswer(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
-	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
+func TestInterimAnswerIsNotTheOutcome(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
 	in := await(t, e.calls, "call")
 	io.WriteString(in.conn, "HTTP/1.1 102 Processing\r\n\r\n")
 	in.reply(200)
@@ -263,8 +263,8 @@
 
 // What breaks off after a first line with 200 was delivered all the same; any other answer that can't be read may
 // have run.
-func TestBrokenAnswers(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
+func TestTruncatedOrInvalidAnswers(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
 	for text, want := range map[string]logic.Outcome{
 		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nEndp":            logic.Completed,
 		"HTTP/1.1 200 OK\r\nno colon\r\n\r\n":                     logic.Completed,
@@ -277,11 +277,11 @@
 		"200 OK\r\n\r\n":                     logic.ConnBroken,
 		"\x00\x01\x02":                       logic.ConnBroken,
 	} {
-		got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
+		got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
 		in := await(t, e.calls, "call")
 		io.WriteString(in.conn, text)
 		in.conn.Close()
-		in.done <- false
+		in.keepReading <- false
 		if r := await(t, got, "result"); r.outcome != want {
 			t.Errorf("%q: outcome %d, want %d", text, r.outcome, want)
 		}
@@ -289,24 +289,24 @@
 }
 
 // A call is called off with half of its answer's head there: it ends soon, and not after the time that a head may take.
-func TestCancelUnderHalfAHead(t *testing.T) {
-	e := newEndpoint(t)
-	c := newCaller(time.Second, 10*time.Second, 4, 16)
+func TestCancelWithPartialHeaderEndsSoon(t *testing.T) {
+	e := newTestEndpoint(t)
+	c := newTransport(time.Second, 10*time.Second, 4, 16)
 	req, err := http.NewRequest(http.MethodPost, "http://"+e.addr()+"/inbox", strings.NewReader("body"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancelCause(t.Context())
-	ended := make(chan result, 1)
+	ended := make(chan callResult, 1)
 	go func() {
-		ended <- c.do(ctx, &call{ep: 1, addr: e.addr(), giveUp: patience, at: time.Now(), request: req, state: new(atomic.Int32)})
+		ended <- c.do(ctx, &call{endpoint: 1, addr: e.addr(), timeout: testTimeout, startedAt: time.Now(), request: req, state: new(atomic.Int32)})
 	}()
 	io.WriteString(await(t, e.calls, "call").conn, "HTTP/1.1 500 Inter")
 	time.Sleep(50 * time.Millisecond)
 	at := time.Now()
 	cancel(nil)
 	r := await(t, ended, "outcome")
-	if took := time.Since(at); r.outcome != logic.Cancelled || took > headTime/2 {
+	if took := time.Since(at); r.outcome != logic.Cancelled || took > headerTimeout/2 {
 		t.Errorf("%v after %v, want recalled at once", r.outcome, took)
 	}
 }
--- a/internal/node/client_close.go
+++ b/internal/node/client_close.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// refuseTime is for requests that have come when a connection is about to be closed.
-const refuseTime = 100 * time.Millisecond
+// refuseTimeout is for requests that have come when a connection is about to be closed.
+const refuseTimeout = 100 * time.Millisecond
 
 // closeReason says why a connection of a client is closed.
 type closeReason string
@@ -26,8 +26,8 @@
 	closedStopping    closeReason = "stopping"     // the process ends
 )
 
-// readable says whether requests may stand on the connection that can still be read.
-func (r closeReason) readable() bool {
+// readsRemaining says whether requests may stand on the connection that can still be read.
+func (r closeReason) readsRemaining() bool {
 	switch r {
 	case closedIdle, closedNoRequest, closedEvicted, closedStopping:
 		return true
@@ -35,89 +35,89 @@
 	return false
 }
 
-// end closes the connection. All connections that were served end here, by one rule: what has been read is answered, and
+// finish closes the connection. All connections that were served end here, by one rule: what has been read is answered, and
 // what is not read is left unread. A client whose request is left unread, or comes later, sees a reset, and knows that it
 // was not carried out; one whose request is read and dropped does not.
-func (x *clientConn) end(reason closeReason) {
+func (x *clientConn) finish(reason closeReason) {
 	x.table.mu.Lock()
-	x.advance(connClosing)
+	x.setState(connClosing)
 	x.table.mu.Unlock()
-	if reason.readable() && !x.refuseRest() {
+	if reason.readsRemaining() && !x.refusePending() {
 		reason = closedUnwritten
 	}
-	x.drained(reason)
+	x.markDrained(reason)
 	if reason != closedByPeer && reason != closedUnwritten {
-		awaitDelivery(x.Conn)
+		awaitAck(x.Conn)
 	}
 	unread := hasData(x.Conn)
 	x.Conn.Close()
-	x.table.noteClose(x, reason, unread)
+	x.table.countClose(x, reason, unread)
 }
 
-// drained notes that all that was read has its answer, and checks that it is so, each request, unless the client has gone or
+// markDrained notes that all that was read has its answer, and checks that it is so, each request, unless the client has gone or
 // does not take answers.
-func (x *clientConn) drained(reason closeReason) {
+func (x *clientConn) markDrained(reason closeReason) {
 	c := x.table
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	x.advance(connDrained)
+	x.setState(connDrained)
 	switch reason {
 	case closedByPeer, closedUnwritten:
 		return
 	case closedMalformed, closedHalfRequest: // what follows is no request
 	default:
-		buffered, _ := x.r.Peek(x.r.Buffered())
-		x.owed += wholeRequests(buffered)
+		buffered, _ := x.reader.Peek(x.reader.Buffered())
+		x.unansweredRequests += countCompleteRequests(buffered)
 	}
-	for range x.owed {
-		c.guard.violation(ruleAnswer, "peer", x.RemoteAddr(), "why", string(reason))
+	for range x.unansweredRequests {
+		c.guard.recordViolation(ruleAnswer, "peer", x.RemoteAddr(), "why", string(reason))
 	}
 }
 
-// refuseRest turns away requests that had come when it was called: handing them in again is harmless. It takes a moment at
+// refusePending turns away requests that had come when it was called: handing them in again is harmless. It takes a moment at
 // most, and answers all that it has read. It returns false if an answer could not be sent.
-func (x *clientConn) refuseRest() bool {
-	by := time.Now().Add(refuseTime)
-	x.limit = available(x.Conn)
-	for x.r.Buffered() > 0 || x.limit != 0 && hasData(x.Conn) {
+func (x *clientConn) refusePending() bool {
+	by := time.Now().Add(refuseTimeout)
+	x.readLimit = availableBytes(x.Conn)
+	for x.reader.Buffered() > 0 || x.readLimit != 0 && hasData(x.Conn) {
 		if !time.Now().Before(by) {
-			x.limit = 0
+			x.readLimit = 0
 		}
 		x.SetReadDeadline(by)
-		args, err := readCommand(x.r)
+		args, err := readCommand(x.reader)
 		if err != nil {
-			x.unreadable(err)
+			x.unreadableReason(err)
 			break
 		}
-		x.whole()
-		if !x.answered(x.table.turnAway(args)) {
+		x.completeRequest()
+		if !x.answerRequest(x.table.rejectRequest(args)) {
 			return false
 		}
 	}
 	return true
 }
 
-// turnAway is the answer to a request that came too late to be carried out.
-func (c *clients) turnAway(args [][]byte) string {
+// rejectRequest is the answer to a request that came too late to be carried out.
+func (c *clients) rejectRequest(args [][]byte) string {
 	if strings.EqualFold(string(args[0]), "MSG.PUT") {
-		return busy(0)
+		return busyAnswer(0)
 	}
-	return c.answer(args)
+	return c.handleRequest(args)
 }
 
-// noteClose counts why a connection was closed.
-func (c *clients) noteClose(x *clientConn, reason closeReason, unread bool) {
+// countClose counts why a connection was closed.
+func (c *clients) countClose(x *clientConn, reason closeReason, unread bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closes[reason]++
+	c.closeCounts[reason]++
 	if unread {
-		c.unread++
+		c.closedOverUnread++
 	}
-	c.log.Debug("client closed", "peer", x.RemoteAddr(), "why", string(reason), "owed", x.owed, "unread", unread)
+	c.log.Debug("client closed", "peer", x.RemoteAddr(), "why", string(reason), "owed", x.unansweredRequests, "unread", unread)
 }
 
-// wholeRequests is how many requests stand whole at the begin of some bytes.
-func wholeRequests(b []byte) (count int) {
+// countCompleteRequests is how many requests stand whole at the begin of some bytes.
+func countCompleteRequests(b []byte) (count int) {
 	r := bufio.NewReader(bytes.NewReader(b))
 	for {
 		if _, err := readCommand(r); err != nil {
@@ -127,21 +127,21 @@
 	}
 }
 
-// countUnanswered notes connections that the process ends with before all that was read on them has its answer. An answer
+// reportUnanswered notes connections that the process ends with before all that was read on them has its answer. An answer
 // that is being written waits for its client.
-func (c *clients) countUnanswered() {
+func (c *clients) reportUnanswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, x := range c.conns {
-		if x.state != connDrained && !x.writing {
-			c.guard.violation(ruleAnswer, "peer", x.RemoteAddr(), "why", "process ends", "state", x.state, "owed", x.owed)
+		if x.state != connDrained && !x.writingAnswer {
+			c.guard.recordViolation(ruleAnswer, "peer", x.RemoteAddr(), "why", "process ends", "state", x.state, "owed", x.unansweredRequests)
 		}
 	}
 }
 
-// endClients answers, once the loop has ended, the requests that came too late for it, until the last connection has
+// drainClients answers, once the loop has ended, the requests that came too late for it, until the last connection has
 // ended or a time is over: what was read must not end with the process.
-func (n *Node) endClients(by time.Time) {
+func (n *Node) drainClients(by time.Time) {
 	over := time.NewTimer(time.Until(by))
 	defer over.Stop()
 	ended := n.clients.allEnded()
@@ -149,12 +149,12 @@
 		select {
 		case ev := <-n.events:
 			if put, ok := ev.(putEvent); ok {
-				put.answer <- n.lateAnswer(put.msg.ID)
+				put.answer <- n.lateAnswer(put.message.ID)
 			}
 		case <-ended:
 			return
 		case <-over.C:
-			n.clients.countUnanswered()
+			n.clients.reportUnanswered()
 			return
 		}
 	}
@@ -165,5 +165,5 @@
 	if n.held[id] != nil || n.journal.Entry(id) != nil {
 		return answerOK
 	}
-	return busy(0)
+	return busyAnswer(0)
 }
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -28,8 +28,8 @@
 	return [...]string{"idle", "reading", "answering", "parked", "closing", "drained"}[s]
 }
 
-// nextStates lists the transitions that are allowed, besides staying in a state.
-var nextStates = map[connState][]connState{
+// allowedTransitions lists the transitions that are allowed, besides staying in a state.
+var allowedTransitions = map[connState][]connState{
 	connIdle:      {connReading, connParked, connClosing},
 	connReading:   {connAnswering, connClosing},
 	connAnswering: {connIdle, connClosing},
@@ -40,37 +40,37 @@
 // clientConn is one connection of a client. Its reader owns it, but for what the table's lock guards.
 type clientConn struct {
 	net.Conn
-	table *clients
-	r     *bufio.Reader
-	limit int // bytes that may still be read from the system; negative for any number
+	table     *clients
+	reader    *bufio.Reader
+	readLimit int // bytes that may still be read from the system; negative for any number
 
 	// What follows is guarded by the table's lock.
-	state     connState
-	proven    bool      // a whole request has come on it
-	since     time.Time // of its start or its last answer
-	heard     time.Time // when the last byte came; zero if none has
-	lateSince time.Time // when bytes were first read past their deadline; zero if none were
-	owed      int       // requests read that have no answer yet
-	writing   bool      // an answer is being written: its client may take its time
+	state              connState
+	hasServedRequest   bool      // a whole request has come on it
+	idleSince          time.Time // of its start or its last answer
+	lastReadAt         time.Time // when the last byte came; zero if none has
+	readOverdueSince   time.Time // when bytes were first read past their deadline; zero if none were
+	unansweredRequests int       // requests read that have no answer yet
+	writingAnswer      bool      // an answer is being written: its client may take its time
 }
 
 func newClientConn(table *clients, conn net.Conn, since time.Time) *clientConn {
-	x := &clientConn{Conn: conn, table: table, since: since, limit: -1}
-	x.r = bufio.NewReader(x)
+	x := &clientConn{Conn: conn, table: table, idleSince: since, readLimit: -1}
+	x.reader = bufio.NewReader(x)
 	return x
 }
 
 // Read reads what has come, also where the deadline is over: a request whose last byte is there is owed its answer.
 func (x *clientConn) Read(b []byte) (int, error) {
-	if x.limit == 0 {
+	if x.readLimit == 0 {
 		return 0, os.ErrDeadlineExceeded
 	}
-	if x.limit > 0 {
-		b = b[:min(len(b), x.limit)]
+	if x.readLimit > 0 {
+		b = b[:min(len(b), x.readLimit)]
 	}
 	n, err := x.Conn.Read(b)
-	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && x.mayReadOn() {
-		x.SetReadDeadline(time.Now().Add(acceptPause))
+	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && x.mayReadPastDeadline() {
+		x.SetReadDeadline(time.Now().Add(shortRetryDelay))
 		n, err = x.Conn.Read(b)
 	}
 	if n > 0 {
@@ -80,87 +80,87 @@
 }
 
 func (x *clientConn) noteRead(n int) {
-	if x.limit > 0 {
-		x.limit -= n
+	if x.readLimit > 0 {
+		x.readLimit -= n
 	}
 	x.table.mu.Lock()
 	defer x.table.mu.Unlock()
-	x.heard = time.Now()
+	x.lastReadAt = time.Now()
 }
 
-// mayReadOn says whether bytes have come that may be read past a deadline, for a moment in all. At a handover they are
+// mayReadPastDeadline says whether bytes have come that may be read past a deadline, for a moment in all. At a handover they are
 // left to whoever goes on.
-func (x *clientConn) mayReadOn() bool {
+func (x *clientConn) mayReadPastDeadline() bool {
 	if !hasData(x.Conn) {
 		return false
 	}
 	x.table.mu.Lock()
 	defer x.table.mu.Unlock()
-	if x.lateSince.IsZero() {
-		x.lateSince = time.Now()
+	if x.readOverdueSince.IsZero() {
+		x.readOverdueSince = time.Now()
 	}
-	return x.table.handover == nil && time.Since(x.lateSince) < lastRequest
+	return x.table.handover == nil && time.Since(x.readOverdueSince) < lastRequestTimeout
 }
 
-// advance moves the connection to a state, false if it is being closed. The caller holds the table's lock.
-func (x *clientConn) advance(to connState) bool {
+// setState moves the connection to a state, false if it is being closed. The caller holds the table's lock.
+func (x *clientConn) setState(to connState) bool {
 	if x.state == connClosing && to < connClosing {
 		return false
 	}
-	if to != x.state && !slices.Contains(nextStates[x.state], to) {
-		x.table.guard.violation(ruleState, "peer", x.RemoteAddr(), "from", x.state, "to", to)
+	if to != x.state && !slices.Contains(allowedTransitions[x.state], to) {
+		x.table.guard.recordViolation(ruleState, "peer", x.RemoteAddr(), "from", x.state, "to", to)
 	}
 	x.state = to
 	return true
 }
 
-// expect waits for the next request from now on, until a time; false if the connection is being closed.
-func (x *clientConn) expect(until time.Time) bool {
+// beginWaiting waits for the next request from now on, until a time; false if the connection is being closed.
+func (x *clientConn) beginWaiting(until time.Time) bool {
 	c := x.table
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !x.advance(connIdle) {
+	if !x.setState(connIdle) {
 		return false
 	}
 	if c.closing || c.handover != nil {
-		until = c.wakeAt(x)
+		until = c.wakeTime(x)
 	}
 	x.SetReadDeadline(until)
 	return true
 }
 
-// begin notes that a request has begun to come, which must be whole by a time; false if the connection is being closed.
-func (x *clientConn) begin(by time.Time) bool {
+// beginRequest notes that a request has begun to come, which must be whole by a time; false if the connection is being closed.
+func (x *clientConn) beginRequest(by time.Time) bool {
 	x.table.mu.Lock()
 	defer x.table.mu.Unlock()
-	if !x.advance(connReading) {
+	if !x.setState(connReading) {
 		return false
 	}
 	x.SetReadDeadline(by)
 	return true
 }
 
-// whole notes that a request has been read whole, whose answer is owed; false if the connection is being closed.
-func (x *clientConn) whole() bool {
+// completeRequest notes that a request has been read whole, whose answer is owed; false if the connection is being closed.
+func (x *clientConn) completeRequest() bool {
 	x.table.mu.Lock()
 	defer x.table.mu.Unlock()
-	x.owed++
-	x.table.requests++
-	return x.advance(connAnswering)
+	x.unansweredRequests++
+	x.table.requestsRead++
+	return x.setState(connAnswering)
 }
 
-// served notes that the request has its answer.
-func (x *clientConn) served() {
+// finishRequest notes that the request has its answer.
+func (x *clientConn) finishRequest() {
 	x.table.mu.Lock()
 	defer x.table.mu.Unlock()
-	x.since, x.proven = time.Now(), true
-	x.advance(connIdle)
+	x.idleSince, x.hasServedRequest = time.Now(), true
+	x.setState(connIdle)
 }
 
-// write sends an answer, false if it could not be sent.
-func (x *clientConn) write(answer string) bool {
+// writeAnswer sends an answer, false if it could not be sent.
+func (x *clientConn) writeAnswer(answer string) bool {
 	x.setWriting(true)
-	x.SetWriteDeadline(time.Now().Add(answerTime))
+	x.SetWriteDeadline(time.Now().Add(answerTimeout))
 	_, err := io.WriteString(x.Conn, answer)
 	x.setWriting(false)
 	if err != nil {
@@ -173,41 +173,41 @@
 func (x *clientConn) setWriting(on bool) {
 	x.table.mu.Lock()
 	defer x.table.mu.Unlock()
-	x.writing = on
+	x.writingAnswer = on
 }
 
-// answered sends the answer to a request that was read, false if it could not be sent.
-func (x *clientConn) answered(answer string) bool {
-	if !x.write(answer) {
+// answerRequest sends the answer to a request that was read, false if it could not be sent.
+func (x *clientConn) answerRequest(answer string) bool {
+	if !x.writeAnswer(answer) {
 		return false
 	}
 	x.table.mu.Lock()
 	defer x.table.mu.Unlock()
-	x.owed--
-	x.table.answers++
+	x.unansweredRequests--
+	x.table.answersWritten++
 	return true
 }
 
-// waitRequest waits for the first byte of a request; an error ends the connection, or parks it.
-func (x *clientConn) waitRequest() error {
-	_, err := x.r.Peek(1)
+// awaitRequest waits for the first byte of a request; an error ends the connection, or parks it.
+func (x *clientConn) awaitRequest() error {
+	_, err := x.reader.Peek(1)
 	if errors.Is(err, os.ErrDeadlineExceeded) && x.table.isClosing() {
 		// A request may have come just before: it is answered, for its client counts on that.
 		if !hasData(x.Conn) {
 			return err
 		}
-		x.SetReadDeadline(time.Now().Add(lastRequest))
-		_, err = x.r.Peek(1)
+		x.SetReadDeadline(time.Now().Add(lastRequestTimeout))
+		_, err = x.reader.Peek(1)
 	}
 	return err
 }
 
-// run serves the connection until it ends or, which it says, is parked for a handover. first is the time by which the
+// serve serves the connection until it ends or, which it says, is parked for a handover. first is the time by which the
 // first request must have come, zero if one has come before.
-func (x *clientConn) run(first time.Time) (parked bool) {
+func (x *clientConn) serve(first time.Time) (parked bool) {
 	reason, parked := x.serveRequests(first)
 	if !parked {
-		x.end(reason)
+		x.finish(reason)
 	}
 	return parked
 }
@@ -216,16 +216,16 @@
 func (x *clientConn) serveRequests(first time.Time) (reason closeReason, parked bool) {
 	idle := first
 	if first.IsZero() {
-		idle = time.Now().Add(idleClient)
+		idle = time.Now().Add(clientIdleTimeout)
 	}
 	for {
-		if x.table.done() {
+		if x.table.pastReadDeadline() {
 			return closedStopping, false
 		}
-		if !x.expect(idle) {
+		if !x.beginWaiting(idle) {
 			return closedEvicted, false
 		}
-		if err := x.waitRequest(); errors.Is(err, os.ErrDeadlineExceeded) {
+		if err := x.awaitRequest(); errors.Is(err, os.ErrDeadlineExceeded) {
 			parked, again := x.park()
 			if parked {
 				return "", true
@@ -233,55 +233,55 @@
 			if again {
 				continue
 			}
-			return x.silent(first), false
+			return x.idleReason(first), false
 		} else if err != nil {
 			return closedByPeer, false
 		}
-		if !x.begin(x.requestBy(first)) {
+		if !x.beginRequest(x.requestDeadline(first)) {
 			return closedEvicted, false
 		}
 		if reason := x.serveRequest(); reason != "" {
 			return reason, false
 		}
-		first, idle = time.Time{}, time.Now().Add(idleClient)
+		first, idle = time.Time{}, time.Now().Add(clientIdleTimeout)
 	}
 }
 
 // serveRequest reads one request and answers it; why the connection is to be closed then, empty if it is not.
 func (x *clientConn) serveRequest() closeReason {
-	args, err := readCommand(x.r)
+	args, err := readCommand(x.reader)
 	if err != nil {
-		return x.unreadable(err)
+		return x.unreadableReason(err)
 	}
-	if !x.whole() { // it came too late to be carried out
-		if !x.answered(x.table.turnAway(args)) {
+	if !x.completeRequest() { // it came too late to be carried out
+		if !x.answerRequest(x.table.rejectRequest(args)) {
 			return closedUnwritten
 		}
 		return closedEvicted
 	}
-	if !x.answered(x.table.answer(args)) {
+	if !x.answerRequest(x.table.handleRequest(args)) {
 		return closedUnwritten
 	}
-	x.served()
+	x.finishRequest()
 	return ""
 }
 
-// requestBy is the time by which a request that begins now must be whole.
-func (x *clientConn) requestBy(first time.Time) time.Time {
+// requestDeadline is the time by which a request that begins now must be whole.
+func (x *clientConn) requestDeadline(first time.Time) time.Time {
 	switch {
 	case x.table.isClosing():
-		return time.Now().Add(lastRequest)
+		return time.Now().Add(lastRequestTimeout)
 	case !first.IsZero():
 		return first
 	}
-	return time.Now().Add(requestTime)
+	return time.Now().Add(requestReadTimeout)
 }
 
-// unreadable says why a connection is closed on which no whole request came, and tells its client what was wrong with it.
-func (x *clientConn) unreadable(err error) closeReason {
+// unreadableReason says why a connection is closed on which no whole request came, and tells its client what was wrong with it.
+func (x *clientConn) unreadableReason(err error) closeReason {
 	switch {
 	case errors.Is(err, errProtocol):
-		x.write("-ERR " + err.Error() + "\r\n")
+		x.writeAnswer("-ERR " + err.Error() + "\r\n")
 		return closedMalformed
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return closedHalfRequest
@@ -289,8 +289,8 @@
 	return closedByPeer
 }
 
-// silent says why a connection is closed on which no request has begun to come.
-func (x *clientConn) silent(first time.Time) closeReason {
+// idleReason says why a connection is closed on which no request has begun to come.
+func (x *clientConn) idleReason(first time.Time) closeReason {
 	x.table.mu.Lock()
 	defer x.table.mu.Unlock()
 	switch {
--- a/internal/node/client_handover.go
+++ b/internal/node/client_handover.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// frozenAll says whether all connections are at rest; those that have half a request, or wait to write, do not count
+// allFrozen says whether all connections are at rest; those that have half a request, or wait to write, do not count
 // if late is true. Once it has said yes, nothing more is parked.
-func (c *clients) frozenAll(late bool) bool {
+func (c *clients) allFrozen(late bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	rest := len(c.handover.parked)
@@ -41,15 +41,15 @@
 			rest++
 		}
 	}
-	if c.accepting || c.pending > 0 || rest < len(c.conns) {
+	if c.accepting || c.pendingRequests > 0 || rest < len(c.conns) {
 		return false
 	}
 	c.handover.sealed = true
 	return true
 }
 
-// waiting lists the parked connections.
-func (c *clients) waiting() ([]net.Conn, []transferClient) {
+// parkedConns lists the parked connections.
+func (c *clients) parkedConns() ([]net.Conn, []transferClient) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.handover == nil {
@@ -58,7 +58,7 @@
 	var states []transferClient
 	for _, conn := range c.handover.parked {
 		x := c.conns[conn]
-		states = append(states, transferClient{c.clock.Micros(x.since), x.proven})
+		states = append(states, transferClient{c.clock.Micros(x.idleSince), x.hasServedRequest})
 	}
 	return c.handover.parked, states
 }
@@ -68,54 +68,54 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	x := newClientConn(c, conn, c.clock.Time(from.Since))
-	x.proven = from.Proven
+	x.hasServedRequest = from.Proven
 	c.conns[conn] = x
-	c.start(x, x.firstBy())
+	c.startConn(x, x.firstRequestDeadline())
 }
 
-// firstBy is the time by which the first request must have come, zero if one has. The caller holds the table's lock.
-func (x *clientConn) firstBy() time.Time {
-	if !x.proven {
-		return x.since.Add(requestTime)
+// firstRequestDeadline is the time by which the first request must have come, zero if one has. The caller holds the table's lock.
+func (x *clientConn) firstRequestDeadline() time.Time {
+	if !x.hasServedRequest {
+		return x.idleSince.Add(requestReadTimeout)
 	}
 	return time.Time{}
 }
 
-// decide ends the handover that is being made. The caller holds c.mu.
-func (c *clients) decide() {
+// endHandover ends the handover that is being made. The caller holds c.mu.
+func (c *clients) endHandover() {
 	close(c.handover.decided)
 	c.handover = nil
 }
 
-// startAll reads requests again from connections that were parked. The caller holds c.mu.
-func (c *clients) startAll(parked []net.Conn) {
+// resumeParked reads requests again from connections that were parked. The caller holds c.mu.
+func (c *clients) resumeParked(parked []net.Conn) {
 	for _, conn := range parked {
 		x := c.conns[conn]
-		x.advance(connIdle)
-		c.start(x, x.firstBy())
+		x.setState(connIdle)
+		c.startConn(x, x.firstRequestDeadline())
 	}
 }
 
-// thaw goes on as before: nobody has taken over.
-func (c *clients) thaw(parked []net.Conn) {
+// unfreeze goes on as before: nobody has taken over.
+func (c *clients) unfreeze(parked []net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.decide()
-	c.startAll(parked)
+	c.endHandover()
+	c.resumeParked(parked)
 }
 
-// handed gives up the connections that went to the process that serves at next. What is left here comes to its end
+// completeHandover gives up the connections that went to the process that serves at next. What is left here comes to its end
 // as at a shutdown, and requests go to that process.
-func (c *clients) handed(next string, gone, left []net.Conn) {
+func (c *clients) completeHandover(next string, gone, left []net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closing, c.next = true, next
-	c.decide()
+	c.closing, c.successorAddr = true, next
+	c.endHandover()
 	for _, conn := range gone { // they stay open in that process
 		conn.Close()
 		delete(c.conns, conn)
 	}
-	c.startAll(left)
+	c.resumeParked(left)
 }
 
 // park sets the connection aside for a handover; if it is too late for that, it waits until it is known who goes on.
@@ -129,7 +129,7 @@
 		c.mu.Unlock()
 		return false, false
 	case !h.sealed:
-		x.advance(connParked)
+		x.setState(connParked)
 		h.parked = append(h.parked, x.Conn)
 		c.mu.Unlock()
 		return true, false
@@ -139,16 +139,16 @@
 	return false, true
 }
 
-// enter counts a request in, and says where it goes: to the loop if next is empty. During a handover it waits until
+// admitRequest counts a request in, and says where it goes: to the loop if next is empty. During a handover it waits until
 // that is known. leave must follow if it is the loop.
-func (c *clients) enter() (next string) {
+func (c *clients) admitRequest() (next string) {
 	for {
 		c.mu.Lock()
 		h := c.handover
 		if h == nil || !h.sealed {
-			next = c.next
+			next = c.successorAddr
 			if next == "" {
-				c.pending++
+				c.pendingRequests++
 			}
 			c.mu.Unlock()
 			return next
@@ -158,28 +158,28 @@
 	}
 }
 
-func (c *clients) leave() {
+func (c *clients) releaseRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pending--
+	c.pendingRequests--
 }
 
-// passOn hands a request to the process that has taken over, as a client of it.
-func passOn(next string, args [][]byte) string {
-	conn, err := net.DialTimeout("tcp", next, lastRequest)
+// forwardRequest hands a request to the process that has taken over, as a client of it.
+func forwardRequest(next string, args [][]byte) string {
+	conn, err := net.DialTimeout("tcp", next, lastRequestTimeout)
 	if err != nil {
-		return busy(0)
+		return busyAnswer(0)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(answerTime))
+	conn.SetDeadline(time.Now().Add(answerTimeout))
 	b := fmt.Appendf(nil, "*%d\r\n", len(args))
 	for _, a := range args {
 		b = fmt.Appendf(b, "$%d\r\n%s\r\n", len(a), a)
 	}
 	if _, err := conn.Write(b); err != nil {
-		return busy(0) // not all of it is written, so it is not taken on
+		return busyAnswer(0) // not all of it is written, so it is not taken on
 	}
-	line, err := bufio.NewReaderSize(io.LimitReader(conn, maxRest), maxRest).ReadString('\n')
+	line, err := bufio.NewReaderSize(io.LimitReader(conn, maxOverheadBytes), maxOverheadBytes).ReadString('\n')
 	if err != nil {
 		return answerFailed
 	}
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -17,56 +17,56 @@
 )
 
 const (
-	maxHold      = 24 * time.Hour          // the longest time that a message may ask for
-	requestTime  = 2500 * time.Millisecond // for a whole request, a connection's first one counted from its start
-	answerTime   = 2500 * time.Millisecond
-	idleClient   = 30 * time.Second       // a connection without a request is closed after this ...
-	idleLeast    = 2 * time.Second        // ... and from this on when the table is full
-	lastRequest  = 200 * time.Millisecond // at a shutdown, for a request that has begun to come
-	firstRequest = 500 * time.Millisecond // and for the first one on a connection, from its start
-	clientPart   = 0.25                   // of the memory is for requests that clients' connections hold
-	maxIDLen     = 128
-	stallTime    = 300 * time.Millisecond // a peer that sends nothing for so long, its first request not whole, stands still
-	acceptPause  = 5 * time.Millisecond
-	answerOK     = "+OK\r\n"
-	answerFailed = "-ERR failed\r\n"
+	maxPeerDuration    = 24 * time.Hour          // the longest time that a message may ask for
+	requestReadTimeout = 2500 * time.Millisecond // for a whole request, a connection's first one counted from its start
+	answerTimeout      = 2500 * time.Millisecond
+	clientIdleTimeout  = 30 * time.Second       // a connection without a request is closed after this ...
+	minIdleForEviction = 2 * time.Second        // ... and from this on when the table is full
+	lastRequestTimeout = 200 * time.Millisecond // at a shutdown, for a request that has begun to come
+	firstRequestGrace  = 500 * time.Millisecond // and for the first one on a connection, from its start
+	clientMemoryShare  = 0.25                   // of the memory is for requests that clients' connections hold
+	maxIDBytes         = 128
+	stallTimeout       = 300 * time.Millisecond // a peer that sends nothing for so long, its first request not whole, stands still
+	shortRetryDelay    = 5 * time.Millisecond
+	answerOK           = "+OK\r\n"
+	answerFailed       = "-ERR failed\r\n"
 )
 
 // putEvent is a message that a client hands in. The loop sends its one answer.
 type putEvent struct {
-	msg    Message
-	answer chan<- string
+	message Message
+	answer  chan<- string
 }
 
 // clients serves the RESP2 side: it is the table of clients' connections.
 type clients struct {
-	cfg    *Config
-	log    *slog.Logger
-	events chan<- any
-	guard  *guard
-	clock  *clock.Clock
-	most   int // connections
-	wg     sync.WaitGroup
+	cfg      *Config
+	log      *slog.Logger
+	events   chan<- any
+	guard    *guard
+	clock    *clock.Clock
+	maxConns int // connections
+	wg       sync.WaitGroup
 
 	// What follows is guarded by mu.
-	mu        sync.Mutex
-	fds       descriptors
-	conns     map[net.Conn]*clientConn
-	ending    int        // connections that made room and whose readers, with their descriptors, are still there
-	ended     *sync.Cond // one of those is gone
-	closing   bool
-	until     time.Time       // when closing: requests are read until then, so that all that were read have their answers
-	handover  *clientHandover // that is being made; nil if none is
-	accepting bool            // serve is at work
-	pending   int             // requests that the loop has not answered
-	next      string          // after a handover, where the new process serves clients
+	mu              sync.Mutex
+	descriptors     descriptors
+	conns           map[net.Conn]*clientConn
+	evictedConns    int        // connections that made room and whose readers, with their descriptors, are still there
+	evictedClosed   *sync.Cond // one of those is gone
+	closing         bool
+	readUntil       time.Time       // when closing: requests are read until then, so that all that were read have their answers
+	handover        *clientHandover // that is being made; nil if none is
+	accepting       bool            // serve is at work
+	pendingRequests int             // requests that the loop has not answered
+	successorAddr   string          // after a handover, where the new process serves clients
 
 	// What follows counts since the last report.
-	away     int // connections turned away
-	requests int // read whole
-	answers  int // written
-	unread   int // connections closed over unread bytes: their clients see a reset
-	closes   map[closeReason]int
+	rejectedConns    int // connections turned away
+	requestsRead     int // read whole
+	answersWritten   int // written
+	closedOverUnread int // connections closed over unread bytes: their clients see a reset
+	closeCounts      map[closeReason]int
 }
 
 func newClients(cfg *Config, log *slog.Logger, events chan<- any) *clients {
@@ -75,11 +75,11 @@
 		most = max(cfg.Limits.Sockets/2, 16)
 	}
 	if m := cfg.Limits.MemoryMB; m > 0 { // each may hold the whole of a request, read or half read
-		most = min(most, max(int(m*(1<<20)*clientPart)/(maxBulk+maxRest), 16))
+		most = min(most, max(int(m*(1<<20)*clientMemoryShare)/(maxBulkBytes+maxOverheadBytes), 16))
 	}
-	c := &clients{cfg: cfg, log: log, events: events, guard: newGuard(log), clock: clock.New(), most: most,
-		conns: map[net.Conn]*clientConn{}, closes: map[closeReason]int{}}
-	c.ended = sync.NewCond(&c.mu)
+	c := &clients{cfg: cfg, log: log, events: events, guard: newGuard(log), clock: clock.New(), maxConns: most,
+		conns: map[net.Conn]*clientConn{}, closeCounts: map[closeReason]int{}}
+	c.evictedClosed = sync.NewCond(&c.mu)
 	return c
 }
 
@@ -94,21 +94,21 @@
 				return
 			}
 			c.log.Warn("accept", "err", err)
-			time.Sleep(acceptPause) // out of descriptors, say: one that closes makes room
+			time.Sleep(shortRetryDelay) // out of descriptors, say: one that closes makes room
 			continue
 		}
 		c.mu.Lock()
-		ok := !c.closing && (len(c.conns) < c.room() || c.makeRoom(rankNew))
+		ok := !c.closing && (len(c.conns) < c.connLimit() || c.evict(evictionRankNew))
 		if ok {
 			x := newClientConn(c, conn, time.Now())
 			c.conns[conn] = x
-			c.start(x, time.Now().Add(requestTime)) // a peer is owed an answer or an end soon after it connects
+			c.startConn(x, time.Now().Add(requestReadTimeout)) // a peer is owed an answer or an end soon after it connects
 		} else {
-			c.away++
+			c.rejectedConns++
 			c.log.Debug("client turned away", "peer", conn.RemoteAddr(), "connections", len(c.conns), "closing", c.closing)
 		}
-		for c.ending > endingMost { // a burst must not outrun the readers that give their descriptors back
-			c.ended.Wait()
+		for c.evictedConns > maxEvictedConns { // a burst must not outrun the readers that give their descriptors back
+			c.evictedClosed.Wait()
 		}
 		c.mu.Unlock()
 		if !ok {
@@ -117,18 +117,18 @@
 	}
 }
 
-// start reads requests from x; first is the time by which the first one must have come, zero if one has come
+// startConn reads requests from x; first is the time by which the first one must have come, zero if one has come
 // before. The caller holds c.mu.
-func (c *clients) start(x *clientConn, first time.Time) {
+func (c *clients) startConn(x *clientConn, first time.Time) {
 	c.wg.Go(func() {
-		if parked := x.run(first); parked {
+		if parked := x.serve(first); parked {
 			return
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if c.conns[x.Conn] == nil { // it made room
-			c.ending--
-			c.ended.Signal()
+			c.evictedConns--
+			c.evictedClosed.Signal()
 		}
 		delete(c.conns, x.Conn)
 	})
@@ -140,36 +140,36 @@
 	c.accepting = on
 }
 
-// report returns what the table holds, and what became of requests and connections since the last report.
-func (c *clients) report() []any {
+// takeCounts returns what the table holds, and what became of requests and connections since the last report.
+func (c *clients) takeCounts() []any {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := []any{"clients", len(c.conns), "clients_away", c.away, "clients_evicted", c.closes[closedEvicted],
-		"clients_late", c.closes[closedNoRequest] + c.closes[closedHalfRequest], "requests", c.requests, "answers", c.answers}
-	for _, reason := range slices.Sorted(maps.Keys(c.closes)) {
-		out = append(out, "closed_"+string(reason), c.closes[reason])
+	out := []any{"clients", len(c.conns), "clients_away", c.rejectedConns, "clients_evicted", c.closeCounts[closedEvicted],
+		"clients_late", c.closeCounts[closedNoRequest] + c.closeCounts[closedHalfRequest], "requests", c.requestsRead, "answers", c.answersWritten}
+	for _, reason := range slices.Sorted(maps.Keys(c.closeCounts)) {
+		out = append(out, "closed_"+string(reason), c.closeCounts[reason])
 	}
-	if c.unread > 0 {
-		out = append(out, "closed_over_unread", c.unread)
+	if c.closedOverUnread > 0 {
+		out = append(out, "closed_over_unread", c.closedOverUnread)
 	}
-	c.away, c.requests, c.answers, c.unread = 0, 0, 0, 0
-	clear(c.closes)
+	c.rejectedConns, c.requestsRead, c.answersWritten, c.closedOverUnread = 0, 0, 0, 0
+	clear(c.closeCounts)
 	return out
 }
 
-// done says whether a shutdown is so far on that no further request is carried out: one that is read would have no answer
+// pastReadDeadline says whether a shutdown is so far on that no further request is carried out: one that is read would have no answer
 // at the end of the process.
-func (c *clients) done() bool {
+func (c *clients) pastReadDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.closing && !c.until.IsZero() && !time.Now().Before(c.until)
+	return c.closing && !c.readUntil.IsZero() && !time.Now().Before(c.readUntil)
 }
 
-// wakeAt is when a reader that waits for a request is woken at a shutdown or handover, to look for one that has begun
+// wakeTime is when a reader that waits for a request is woken at a shutdown or handover, to look for one that has begun
 // to come: at once, but a client that has only just connected is given a moment, since its first request fails with
 // the connection. The caller holds c.mu.
-func (c *clients) wakeAt(x *clientConn) time.Time {
-	if soon := x.since.Add(firstRequest); c.closing && !x.proven && soon.After(time.Now()) {
+func (c *clients) wakeTime(x *clientConn) time.Time {
+	if soon := x.idleSince.Add(firstRequestGrace); c.closing && !x.hasServedRequest && soon.After(time.Now()) {
 		return soon
 	}
 	return time.Now()
@@ -181,11 +181,11 @@
 	c.mu.Lock()
 	c.closing = true
 	if end, ok := ctx.Deadline(); ok {
-		c.until = end.Add(-3 * lastRequest)
+		c.readUntil = end.Add(-3 * lastRequestTimeout)
 	}
 	for _, x := range c.conns {
 		if x.state == connIdle { // any other ends by its own time: the last byte may be written already
-			x.SetReadDeadline(c.wakeAt(x))
+			x.SetReadDeadline(c.wakeTime(x))
 		}
 	}
 	c.mu.Unlock()
@@ -208,8 +208,8 @@
 	return c.closing
 }
 
-// answer carries a request out and returns the line to send back.
-func (c *clients) answer(args [][]byte) string {
+// handleRequest carries a request out and returns the line to send back.
+func (c *clients) handleRequest(args [][]byte) string {
 	switch cmd := strings.ToUpper(string(args[0])); cmd {
 	case "PING":
 		if len(args) > 1 {
@@ -221,10 +221,10 @@
 		if err != nil {
 			return "-ERR " + err.Error() + "\r\n"
 		}
-		if next := c.enter(); next != "" {
-			return passOn(next, args)
+		if next := c.admitRequest(); next != "" {
+			return forwardRequest(next, args)
 		}
-		defer c.leave()
+		defer c.releaseRequest()
 		answer := make(chan string, 1)
 		c.events <- putEvent{msg, answer}
 		return <-answer
--- a/internal/node/close_test.go
+++ b/internal/node/close_test.go
@@ -11,33 +11,33 @@
 	"crossdeal/internal/scale/standin"
 )
 
-// clientSide is a connection whose other end is a sender's client table.
-type clientSide struct {
-	*client
+// connPair is a connection whose other end is a sender's client table.
+type connPair struct {
+	*testClient
 	served net.Conn // the table's end
 }
 
-// connect makes a connection to a table without its listener, so that a test decides when it is served.
-func connect(t *testing.T) clientSide {
+// newConnPair makes a connection to a table without its listener, so that a test decides when it is served.
+func newConnPair(t *testing.T) connPair {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	c := dial(t, ln.Addr().String())
+	c := dialClient(t, ln.Addr().String())
 	served, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return clientSide{c, served}
+	return connPair{c, served}
 }
 
-// answeringClients is a table whose messages are all accepted.
-func answeringClients(t *testing.T) *clients {
+// newAcceptingClients is a table whose messages are all accepted.
+func newAcceptingClients(t *testing.T) *clients {
 	t.Helper()
 	events := make(chan any, 8)
-	cfg, err := ParseConfig([]byte(settingsOnly))
+	cfg, err := ParseConfig([]byte(settingsOnlyConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,51 +51,51 @@
 	return c
 }
 
-const settingsOnly = `{"name":"n","settings":` + settings + `}`
+const settingsOnlyConfig = `{"name":"n","settings":` + testSettings + `}`
 
-// putWords is a whole request with an id.
-func putWords(id string) []string { return []string{"MSG.PUT", "0", id, "c=safe,d=5000,dest=1", "x"} }
+// putArgs is a whole request with an id.
+func putArgs(id string) []string { return []string{"MSG.PUT", "0", id, "c=safe,d=5000,dest=1", "x"} }
 
-// serveSide begins to serve a connection as the listener does.
-func serveSide(c *clients, conn net.Conn, first time.Time) {
+// serveConn begins to serve a connection as the listener does.
+func serveConn(c *clients, conn net.Conn, first time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	x := newClientConn(c, conn, time.Now())
 	c.conns[conn] = x
-	c.start(x, first)
+	c.startConn(x, first)
 }
 
 // A client makes room in the moment in which the last byte of its first request has come: the request has been read, so
 // it is refused before the connection is closed.
-func TestMakingRoomAnswersWhatHasCome(t *testing.T) {
-	c, x := answeringClients(t), connect(t)
-	serveSide(c, x.served, time.Now().Add(requestTime))
-	whole := respText(putWords("a")...)
+func TestEvictedClientGetsAnswerToReceivedRequest(t *testing.T) {
+	c, x := newAcceptingClients(t), newConnPair(t)
+	serveConn(c, x.served, time.Now().Add(requestReadTimeout))
+	whole := encodeRequest(putArgs("a")...)
 	x.conn.Write([]byte(whole[:len(whole)-3]))
-	time.Sleep(stallTime + 100*time.Millisecond) // it stands still with its first request
+	time.Sleep(stallTimeout + 100*time.Millisecond) // it stands still with its first request
 	c.mu.Lock()
 	x.conn.Write([]byte(whole[len(whole)-3:]))
 	time.Sleep(50 * time.Millisecond) // its reader has the rest, and has not said so
-	evicted := c.makeRoom(rankNew)
+	evicted := c.evict(evictionRankNew)
 	c.mu.Unlock()
-	if got := x.line(); !evicted || !strings.HasPrefix(got, "-BUSY") {
+	if got := x.readLine(); !evicted || !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("evicted %v, answered %q, want a refusal", evicted, got)
 	}
-	if got := x.line(); got != "" {
+	if got := x.readLine(); got != "" {
 		t.Errorf("then %q, want the end", got)
 	}
 }
 
 // A shutdown is so far on that nothing is read any more: requests that have come along with the last one are refused.
-func TestEndOfShutdownAnswersWhatHasCome(t *testing.T) {
-	for _, before := range []time.Duration{time.Second, lastRequest / 2} {
-		c, x := answeringClients(t), connect(t)
-		x.send(putWords("a")...)
-		x.send(putWords("b")...)
-		c.closing, c.until = true, time.Now().Add(-before)
-		serveSide(c, x.served, time.Now().Add(requestTime))
+func TestRequestsReceivedAtShutdownEndAreAnswered(t *testing.T) {
+	for _, before := range []time.Duration{time.Second, lastRequestTimeout / 2} {
+		c, x := newAcceptingClients(t), newConnPair(t)
+		x.send(putArgs("a")...)
+		x.send(putArgs("b")...)
+		c.closing, c.readUntil = true, time.Now().Add(-before)
+		serveConn(c, x.served, time.Now().Add(requestReadTimeout))
 		for range 2 {
-			if got := x.line(); got == "" {
+			if got := x.readLine(); got == "" {
 				t.Errorf("%v past the last reading: a request that had come has no answer", before)
 			}
 		}
@@ -103,62 +103,62 @@
 }
 
 // The time for a request is over in the moment in which it comes: a whole one has its answer.
-func TestRequestAtItsDeadline(t *testing.T) {
-	c, x := answeringClients(t), connect(t)
-	x.send(putWords("a")...)
+func TestCompleteRequestAtItsDeadlineIsAnswered(t *testing.T) {
+	c, x := newAcceptingClients(t), newConnPair(t)
+	x.send(putArgs("a")...)
 	time.Sleep(20 * time.Millisecond)
-	serveSide(c, x.served, time.Now().Add(-time.Second))
-	if got := x.line(); got != "+OK" && !strings.HasPrefix(got, "-BUSY") {
+	serveConn(c, x.served, time.Now().Add(-time.Second))
+	if got := x.readLine(); got != "+OK" && !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("answered %q", got)
 	}
 }
 
 // A close over bytes that nobody reads resets the connection, and an answer that is still on its way would go with it.
-func TestErrorLineOutlivesUnreadBytes(t *testing.T) {
+func TestErrorLineArrivesDespiteUnreadBytes(t *testing.T) {
 	for range 20 {
-		c, x := answeringClients(t), connect(t)
+		c, x := newAcceptingClients(t), newConnPair(t)
 		x.conn.Write([]byte("nonsense\r\n" + strings.Repeat("more of it ", 2000)))
-		serveSide(c, x.served, time.Now().Add(requestTime))
-		if got := x.line(); !strings.HasPrefix(got, "-ERR") {
+		serveConn(c, x.served, time.Now().Add(requestReadTimeout))
+		if got := x.readLine(); !strings.HasPrefix(got, "-ERR") {
 			t.Fatalf("answered %q, want an error line", got)
 		}
 	}
 }
 
-// crossedConn is the sender's end of a connection on which a request comes while it is closed.
-type crossedConn struct {
+// closeHookConn is the sender's end of a connection on which a request comes while it is closed.
+type closeHookConn struct {
 	*net.TCPConn
-	cross func()
+	beforeCloseWrite func()
 }
 
-func (c *crossedConn) CloseWrite() error {
-	c.cross()
+func (c *closeHookConn) CloseWrite() error {
+	c.beforeCloseWrite()
 	return c.TCPConn.CloseWrite()
 }
 
 // closePaths are ways in which a connection is closed on which some bytes have come. Each begins to serve it.
 var closePaths = map[string]func(c *clients, x *clientConn){
-	"no first request in time": func(c *clients, x *clientConn) { c.start(x, time.Now().Add(-time.Second)) },
-	"a request not in time":    func(c *clients, x *clientConn) { c.start(x, time.Now().Add(100*time.Millisecond)) },
+	"no first request in time": func(c *clients, x *clientConn) { c.startConn(x, time.Now().Add(-time.Second)) },
+	"a request not in time":    func(c *clients, x *clientConn) { c.startConn(x, time.Now().Add(100*time.Millisecond)) },
 	"made room": func(c *clients, x *clientConn) {
-		x.advance(connClosing)
-		c.start(x, time.Time{})
+		x.setState(connClosing)
+		c.startConn(x, time.Time{})
 	},
 	"shutdown": func(c *clients, x *clientConn) {
 		c.closing = true
-		c.start(x, time.Time{})
+		c.startConn(x, time.Time{})
 	},
 	"end of a shutdown": func(c *clients, x *clientConn) {
-		c.closing, c.until = true, time.Now().Add(-time.Second)
-		c.start(x, time.Time{})
+		c.closing, c.readUntil = true, time.Now().Add(-time.Second)
+		c.startConn(x, time.Time{})
 	},
 }
 
 // A connection that was closed under requests that had been read left some of them without an answer.
-func TestEachCloseAnswersWhatWasRead(t *testing.T) {
+func TestEveryCloseAnswersRequestsRead(t *testing.T) {
 	whole := func(ids ...string) (text string) {
 		for _, id := range ids {
-			text += respText(putWords(id)...)
+			text += encodeRequest(putArgs(id)...)
 		}
 		return text
 	}
@@ -178,19 +178,19 @@
 			"one and a half, no more":  {whole("a") + half, 1, true},
 		} {
 			t.Run(path+"/"+form, func(t *testing.T) {
-				c, side := answeringClients(t), connect(t)
+				c, side := newAcceptingClients(t), newConnPair(t)
 				io.WriteString(side.conn, x.text)
 				if x.shut {
 					side.conn.(*net.TCPConn).CloseWrite()
 				}
-				await(t, seen(side.served, len(x.text)), "bytes of the client")
+				await(t, notifyAvailable(side.served, len(x.text)), "bytes of the client")
 				c.mu.Lock()
 				conn := newClientConn(c, side.served, time.Now())
 				c.conns[side.served] = conn
 				begin(c, conn)
 				c.mu.Unlock()
 				got := 0
-				for side.line() != "" {
+				for side.readLine() != "" {
 					if got++; got == x.want { // where the connection goes on, its client ends it
 						side.conn.(*net.TCPConn).CloseWrite()
 					}
@@ -199,7 +199,7 @@
 					t.Errorf("%d answers, want %d", got, x.want)
 				}
 				c.wg.Wait()
-				if n := c.guard.violations(); n != 0 {
+				if n := c.guard.violationTotal(); n != 0 {
 					t.Errorf("%d violations", n)
 				}
 			})
@@ -208,28 +208,28 @@
 }
 
 // A connection whose close was under way was closed again to make room for another.
-func TestConnectionThatEndsMakesNoRoom(t *testing.T) {
-	c := answeringClients(t)
+func TestClosingConnectionIsNotEvicted(t *testing.T) {
+	c := newAcceptingClients(t)
 	mine, theirs := net.Pipe()
 	defer theirs.Close()
 	x := newClientConn(c, mine, time.Now().Add(-time.Minute))
 	c.conns[mine] = x
 	for _, state := range []connState{connAnswering, connParked, connClosing, connDrained} {
 		x.state = state
-		if c.makeRoom(rankNew) {
+		if c.evict(evictionRankNew) {
 			t.Errorf("%v: made room", state)
 		}
 	}
-	if n := c.guard.violations(); n != 0 {
+	if n := c.guard.violationTotal(); n != 0 {
 		t.Errorf("%d violations", n)
 	}
 }
 
-// seen tells once so many bytes wait to be read.
-func seen(conn net.Conn, count int) <-chan bool {
+// notifyAvailable tells once so many bytes wait to be read.
+func notifyAvailable(conn net.Conn, count int) <-chan bool {
 	ch := make(chan bool, 1)
 	go func() {
-		for available(conn) < count {
+		for availableBytes(conn) < count {
 			time.Sleep(time.Millisecond)
 		}
 		ch <- true
@@ -238,27 +238,27 @@
 }
 
 // A request that came while its connection was closed was read and dropped, on each way to a close.
-func TestRequestThatCrossesACloseIsReset(t *testing.T) {
+func TestRequestSentDuringCloseIsReset(t *testing.T) {
 	for path, begin := range closePaths {
 		t.Run(path, func(t *testing.T) {
-			c, side := answeringClients(t), connect(t)
-			side.send(putWords("a")...)
-			await(t, seen(side.served, 1), "first request")
-			late := respText(putWords("late")...)
-			served := &crossedConn{side.served.(*net.TCPConn), func() {
+			c, side := newAcceptingClients(t), newConnPair(t)
+			side.send(putArgs("a")...)
+			await(t, notifyAvailable(side.served, 1), "first request")
+			late := encodeRequest(putArgs("late")...)
+			served := &closeHookConn{side.served.(*net.TCPConn), func() {
 				io.WriteString(side.conn, late)
-				await(t, seen(side.served, len(late)), "request that crosses")
+				await(t, notifyAvailable(side.served, len(late)), "request that crosses")
 			}}
 			c.mu.Lock()
 			conn := newClientConn(c, served, time.Now())
 			c.conns[served] = conn
 			begin(c, conn)
 			c.mu.Unlock()
-			if got := side.line(); got != "+OK" && !strings.HasPrefix(got, "-BUSY") {
+			if got := side.readLine(); got != "+OK" && !strings.HasPrefix(got, "-BUSY") {
 				t.Errorf("first request: %q", got)
 			}
-			stop := idleTooLong(served)
-			if got := side.line(); got != "" {
+			stop := expireReadDeadlines(served)
+			if got := side.readLine(); got != "" {
 				t.Errorf("then %q", got)
 			}
 			c.wg.Wait()
@@ -271,8 +271,8 @@
 	}
 }
 
-// idleTooLong ends the wait for a next request on a connection that goes on, again and again until it is stopped.
-func idleTooLong(conn net.Conn) (stop func()) {
+// expireReadDeadlines ends the wait for a next request on a connection that goes on, again and again until it is stopped.
+func expireReadDeadlines(conn net.Conn) (stop func()) {
 	tick, over := time.NewTicker(time.Millisecond), make(chan bool)
 	go func() {
 		for {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -25,41 +25,41 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// listBytes is how long an answer of discovery may be. Beside it, what it holds is kept twice for a moment.
-func (l Limits) listBytes() int64 {
+// maxListBytes is how long an answer of discovery may be. Beside it, what it holds is kept twice for a moment.
+func (l Limits) maxListBytes() int64 {
 	return max(int64(l.MemoryMB*(1<<20)/8), discovery.LeastBytes)
 }
 
-// diskMargin stays free: files are counted in whole blocks, and the platform ends a sender that has more than its disk.
-const diskMargin = 16 << 10
+// diskMarginBytes stays free: files are counted in whole blocks, and the platform ends a sender that has more than its disk.
+const diskMarginBytes = 16 << 10
 
 // diskBytes is the disk that the platform gives; 0 if it sets no limit.
 func (l Limits) diskBytes() int64 { return int64(l.DiskMB * 1e6) }
 
-// storeBytes is what the saved list may take on disk beside the journal, which takes two files for the time of a
+// listStoreBytes is what the saved list may take on disk beside the journal, which takes two files for the time of a
 // rewrite. What is on disk may count as memory: it is no more than two of the longest lists.
-func (l Limits) storeBytes() int64 {
-	left := 2 * l.listBytes()
+func (l Limits) listStoreBytes() int64 {
+	left := 2 * l.maxListBytes()
 	if disk := l.diskBytes(); disk > 0 {
-		left = min(left, disk-2*journalLimit(disk)-diskMargin)
+		left = min(left, disk-2*journalFileLimit(disk)-diskMarginBytes)
 	}
 	return max(left, 0)
 }
 
 // Config is what the platform tells a sender at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Operator  string // where operators call; empty for no such address
-	StateDir  string
-	Seed      uint64
-	Limits    Limits
-	Known     discovery.List
-	Deploy    wire.Deployment
-	Classes   map[string]int
-	Tenants   map[string]int
-	Doubts    []string // what makes no sense, and what was taken for it
+	Name          string
+	ListenAddr    string
+	DiscoveryAddr string
+	OperatorAddr  string // where operators call; empty for no such address
+	StateDir      string
+	Seed          uint64
+	Limits        Limits
+	KnownList     discovery.List
+	Deployment    wire.Deployment
+	ClassIndexes  map[string]int
+	TenantIndexes map[string]int
+	Warnings      []string // what makes no sense, and what was taken for it
 }
 
 // readConfig reads the file that the environment names.
@@ -79,16 +79,16 @@
 	return cfg, nil
 }
 
-// LoadDiscovery reads discovery's address anew. The file has it: the environment is that of the start.
-func LoadDiscovery() (string, error) {
+// LoadDiscoveryAddr reads discovery's address anew. The file has it: the environment is that of the start.
+func LoadDiscoveryAddr() (string, error) {
 	cfg, err := readConfig()
 	if err != nil {
 		return "", err
 	}
-	if cfg.Discovery == "" {
+	if cfg.DiscoveryAddr == "" {
 		return "", errors.New("the configuration names no discovery")
 	}
-	return cfg.Discovery, nil
+	return cfg.DiscoveryAddr, nil
 }
 
 // LoadConfig reads the environment and the file that it names.
@@ -98,13 +98,13 @@
 		return nil, err
 	}
 	cfg.StateDir = os.Getenv("BALANCER_STATE")
-	for name, field := range map[string]*string{"BALANCER_NAME": &cfg.Name, "BALANCER_LISTEN": &cfg.Listen,
-		"BALANCER_DISCOVERY": &cfg.Discovery, "BALANCER_OPERATOR": &cfg.Operator} {
+	for name, field := range map[string]*string{"BALANCER_NAME": &cfg.Name, "BALANCER_LISTEN": &cfg.ListenAddr,
+		"BALANCER_DISCOVERY": &cfg.DiscoveryAddr, "BALANCER_OPERATOR": &cfg.OperatorAddr} {
 		if v := os.Getenv(name); v != "" {
 			*field = v
 		}
 	}
-	if cfg.StateDir == "" || cfg.Listen == "" || cfg.Discovery == "" {
+	if cfg.StateDir == "" || cfg.ListenAddr == "" || cfg.DiscoveryAddr == "" {
 		return nil, errors.New("BALANCER_STATE, BALANCER_LISTEN and BALANCER_DISCOVERY must be set")
 	}
 	return cfg, nil
@@ -129,20 +129,20 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	cfg := &Config{Name: in.Name, Listen: in.Listen, Discovery: in.Discovery, Operator: in.Operator, Limits: in.Limits,
-		Deploy: deploy, Classes: map[string]int{}, Tenants: map[string]int{}}
+	cfg := &Config{Name: in.Name, ListenAddr: in.Listen, DiscoveryAddr: in.Discovery, OperatorAddr: in.Operator, Limits: in.Limits,
+		Deployment: deploy, ClassIndexes: map[string]int{}, TenantIndexes: map[string]int{}}
 	if deploy.Unread != nil {
-		cfg.Doubts = append(cfg.Doubts, fmt.Sprintf("settings: %v; taken for missing", deploy.Unread))
+		cfg.Warnings = append(cfg.Warnings, fmt.Sprintf("settings: %v; taken for missing", deploy.Unread))
 	}
-	cfg.Doubts = append(cfg.Doubts, cfg.Deploy.Settings.ReplaceInvalid()...)
-	if t := &cfg.Deploy.ConnectTimeout; *t <= 0 || *t > logic.Micros(time.Minute.Microseconds()) {
-		cfg.Doubts = append(cfg.Doubts, fmt.Sprintf("settings: a connect timeout of %d us makes no sense, taken for 1 s", *t))
+	cfg.Warnings = append(cfg.Warnings, cfg.Deployment.Settings.ReplaceInvalid()...)
+	if t := &cfg.Deployment.ConnectTimeout; *t <= 0 || *t > logic.Micros(time.Minute.Microseconds()) {
+		cfg.Warnings = append(cfg.Warnings, fmt.Sprintf("settings: a connect timeout of %d us makes no sense, taken for 1 s", *t))
 		*t = logic.Second
 	}
 	if len(in.Known) > 0 {
-		if err := json.Unmarshal(in.Known, &cfg.Known); err != nil {
-			cfg.Doubts = append(cfg.Doubts, fmt.Sprintf("known list: %v; begun without one", err))
-			cfg.Known = discovery.List{}
+		if err := json.Unmarshal(in.Known, &cfg.KnownList); err != nil {
+			cfg.Warnings = append(cfg.Warnings, fmt.Sprintf("known list: %v; begun without one", err))
+			cfg.KnownList = discovery.List{}
 		}
 	}
 	if cfg.Seed, err = strconv.ParseUint(in.Seed, 16, 64); err != nil {
@@ -150,13 +150,13 @@
 		h := fnv.New64a()
 		fmt.Fprintln(h, in.Name, in.Listen, time.Now().UnixNano())
 		cfg.Seed = h.Sum64()
-		cfg.Doubts = append(cfg.Doubts, fmt.Sprintf("seed: %v; drew one", err))
+		cfg.Warnings = append(cfg.Warnings, fmt.Sprintf("seed: %v; drew one", err))
 	}
 	for i, c := range deploy.Settings.Classes {
-		cfg.Classes[c.Name] = i
+		cfg.ClassIndexes[c.Name] = i
 	}
 	for i, t := range deploy.Settings.Tenants {
-		cfg.Tenants[t.Name] = i
+		cfg.TenantIndexes[t.Name] = i
 	}
 	return cfg, nil
 }
--- a/internal/node/crash_test.go
+++ b/internal/node/crash_test.go
@@ -14,15 +14,15 @@
 	"crossdeal/logic"
 )
 
-// leftBehind copies what a sender's death at this moment would leave in its folder.
-func leftBehind(t *testing.T, dir string) string {
+// copyJournal copies what a sender's death at this moment would leave in its folder.
+func copyJournal(t *testing.T, dir string) string {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(dir, journalName))
+	text, err := os.ReadFile(filepath.Join(dir, journalFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	to := t.TempDir()
-	if err := os.WriteFile(filepath.Join(to, journalName), text, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(to, journalFileName), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return to
@@ -30,11 +30,11 @@
 
 // A sender dies while a call still connects: nothing of it was written, so the next start sends the message, an unsafe
 // one too. Once it is written it may have run. The gate holds the connection as one that comes up late.
-func TestKillWhileConnecting(t *testing.T) {
+func TestMessageIsSentAfterCrashWhileConnecting(t *testing.T) {
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		at, open := make(chan bool), make(chan bool)
-		n, c, p, e := world(t, 1, func(n *Node) {
-			n.caller.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
+		n, c, p, e := startNodeWithEndpoints(t, 1, func(n *Node) {
+			n.transport.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 				at <- true
 				<-open
 				return nil
@@ -42,23 +42,23 @@
 		})
 		c.put("a", class, "+OK")
 		await(t, at, "call that connects")
-		connecting := leftBehind(t, n.cfg.StateDir)
+		connecting := copyJournal(t, n.cfg.StateDir)
 		open <- true
 		in := await(t, e[0].calls, "call")
-		written := leftBehind(t, n.cfg.StateDir)
+		written := copyJournal(t, n.cfg.StateDir)
 		in.reply(200)
-		stopClean(t, n)
+		stopWithNothingOwed(t, n)
 
-		other := newEndpoint(t)
-		known := discovery.List{Generation: 1, Reset: true, Instances: instances(other)}
-		p.set(func() { p.list = known })
+		other := newTestEndpoint(t)
+		known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(other)}
+		p.update(func() { p.list = known })
 		next := startNode(t, p, connecting, known)
 		in = await(t, other.calls, class+" message that nobody was sent")
 		if in.id() != "a" {
 			t.Errorf("%s: call with %s", class, in.id())
 		}
 		in.reply(200)
-		stopClean(t, next)
+		stopWithNothingOwed(t, next)
 
 		next = startNode(t, p, written, known)
 		if class == "unsafe" {
@@ -68,8 +68,8 @@
 		} else {
 			await(t, other.calls, class+" message again").reply(200)
 		}
-		stopClean(t, next)
-		other.none(t)
+		stopWithNothingOwed(t, next)
+		other.expectNoCall(t)
 		if len(p.notices) != 0 {
 			t.Errorf("%s: notice %+v", class, <-p.notices)
 		}
@@ -78,17 +78,17 @@
 
 // Each attempt counts once, whether it had to connect or not, through a restart and a rewrite too, and one that only
 // connected has not run.
-func TestJournalTellsConnectingFromWritten(t *testing.T) {
+func TestJournalDistinguishesConnectingFromWritten(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
-	mustAppend(t, j, accept("a", 10), record{Op: opBegin, ID: "a"})
+	mustAppend(t, j, acceptRecord("a", 10), record{Op: opConnect, ID: "a"})
 	want := func(tries int, begun, open, may bool) {
 		t.Helper()
 		for _, what := range []string{"as it is", "replayed", "rewritten"} {
 			e := j.Entry("a")
-			if e.Tries != tries || e.Begun != begun || e.Open != open || e.MayRun != may {
-				t.Errorf("%s: %d tries, begun %v, open %v, may have run %v; want %d, %v, %v, %v", what, e.Tries, e.Begun,
-					e.Open, e.MayRun, tries, begun, open, may)
+			if e.Attempts != tries || e.Connecting != begun || e.MaybeWritten != open || e.MayHaveRun != may {
+				t.Errorf("%s: %d tries, begun %v, open %v, may have run %v; want %d, %v, %v, %v", what, e.Attempts, e.Connecting,
+					e.MaybeWritten, e.MayHaveRun, tries, begun, open, may)
 			}
 			if what == "replayed" {
 				if err := j.Compact(); err != nil {
@@ -100,46 +100,46 @@
 		}
 	}
 	want(1, true, false, false)
-	mustAppend(t, j, record{Op: opSend, ID: "a", At: 7})
+	mustAppend(t, j, record{Op: opSend, ID: "a", SentAt: 7})
 	want(1, false, true, false)
 	mustAppend(t, j, record{Op: opOutcome, ID: "a"})
-	mustAppend(t, j, record{Op: opSend, ID: "a", At: 8}) // on a kept connection
+	mustAppend(t, j, record{Op: opSend, ID: "a", SentAt: 8}) // on a kept connection
 	want(2, false, true, false)
-	mustAppend(t, j, record{Op: opOutcome, ID: "a", MayRun: true})
-	mustAppend(t, j, record{Op: opBegin, ID: "a"}, record{Op: opOutcome, ID: "a"})
+	mustAppend(t, j, record{Op: opOutcome, ID: "a", MayHaveRun: true})
+	mustAppend(t, j, record{Op: opConnect, ID: "a"}, record{Op: opOutcome, ID: "a"})
 	want(3, false, false, true)
 	j.Close()
 }
 
 // A call that is called off while it waits for leave, or that gets none, is not written.
-func TestCalledOffBeforeItIsWritten(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
+func TestCallWithoutWritePermissionIsNotSent(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
 	ctx, cancel := context.WithCancel(t.Context())
 	for _, allow := range []func(context.Context) bool{
 		func(context.Context) bool { return false },
 		func(ctx context.Context) bool { cancel(); <-ctx.Done(); return false },
 	} {
-		in := newCall(t, e.addr(), "hello", patience)
-		in.allow = allow
+		in := newTestCall(t, e.addr(), "hello", testTimeout)
+		in.mayWrite = allow
 		if r := c.do(ctx, in); r.outcome != logic.NotSent {
 			t.Errorf("got %+v, want Moot", r)
 		}
 	}
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // A death between the message's record and its +OK, or in the middle of writing any record, leaves what was owed before,
 // and nothing that was not whole counts.
-func TestKillAtEachByteOfTheJournal(t *testing.T) {
+func TestJournalTruncatedAtAnyByteKeepsWholeRecords(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
 	var ends []int64
-	for _, rec := range []record{accept("a", 10), {Op: opBegin, ID: "a"}, {Op: opSend, ID: "a"}, {Op: opOutcome, ID: "a", MayRun: true},
-		{Op: opEnd, ID: "a", Notice: &Notice{ID: "a", State: "failed"}}, {Op: opNoticed, ID: "a"}} {
+	for _, rec := range []record{acceptRecord("a", 10), {Op: opConnect, ID: "a"}, {Op: opSend, ID: "a"}, {Op: opOutcome, ID: "a", MayHaveRun: true},
+		{Op: opEndWithNotice, ID: "a", Notice: &Notice{ID: "a", State: "failed"}}, {Op: opNoticeConfirmed, ID: "a"}} {
 		mustAppend(t, j, rec)
 		ends = append(ends, j.size)
 	}
-	whole, err := os.ReadFile(filepath.Join(dir, journalName))
+	whole, err := os.ReadFile(filepath.Join(dir, journalFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,16 +148,16 @@
 		if e == nil {
 			return "nothing owed"
 		}
-		return fmt.Sprint(e.Tries, e.Begun, e.Open, e.MayRun, e.End != nil)
+		return fmt.Sprint(e.Attempts, e.Connecting, e.MaybeWritten, e.MayHaveRun, e.EndNotice != nil)
 	}
 	want := []string{"nothing owed", "0 false false false false", "1 true false false false", "1 false true false false",
 		"1 false false true false", "1 false false true true", "nothing owed"}
 	for cut := range int64(len(whole)) + 1 {
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, journalName), whole[:cut], 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, journalFileName), whole[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(dir, journalName+".new"), whole[cut/2:], 0o600); err != nil { // in a rewrite
+		if err := os.WriteFile(filepath.Join(dir, journalFileName+".new"), whole[cut/2:], 0o600); err != nil { // in a rewrite
 			t.Fatal(err)
 		}
 		records := 0
@@ -170,7 +170,7 @@
 		if got := state(j.Entry("a")); got != want[records] {
 			t.Fatalf("cut at byte %d: %s, want %s", cut, got, want[records])
 		}
-		if _, err := os.Stat(filepath.Join(dir, journalName+".new")); err == nil {
+		if _, err := os.Stat(filepath.Join(dir, journalFileName+".new")); err == nil {
 			t.Fatal("half a rewrite is left")
 		}
 		j.Close()
@@ -179,21 +179,21 @@
 
 // After SIGKILL and after SIGTERM what was never tried goes out at the next start, with many messages in the journal,
 // with a told wait that ended with the process, and with discovery silent; little time left is enough.
-func TestRestartTriesAllThatIsOwed(t *testing.T) {
+func TestRestartSendsAllOwedMessages(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		term bool
 		ms   int
 	}{{"SIGKILL", false, 16000}, {"SIGTERM", true, 16000}} {
-		p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
-		known := discovery.List{Generation: 1, Reset: true, Instances: instances(e)}
+		p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
+		known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
 		p.list = known
 		first := startProcess(t, p, dir, known)
-		c := dial(t, first.addr)
+		c := dialClient(t, first.addr)
 		c.put("told", "safe", "+OK")
 		await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
-		for stop := time.Now().Add(patience); ; { // until the loop has the wait
-			if j := openJournal(t, leftBehind(t, dir), 3e6); !j.Entry("told").Open && !j.Entry("told").Begun {
+		for stop := time.Now().Add(testTimeout); ; { // until the loop has the wait
+			if j := openJournal(t, copyJournal(t, dir), 3e6); !j.Entry("told").MaybeWritten && !j.Entry("told").Connecting {
 				break
 			}
 			if time.Now().After(stop) {
@@ -201,16 +201,16 @@
 			}
 		}
 		for i := range 6 {
-			c.putFor(fmt.Sprint("m", i), []string{"safe", "keyed", "unsafe"}[i%3], x.ms, "+OK")
+			c.putWithTime(fmt.Sprint("m", i), []string{"safe", "keyed", "unsafe"}[i%3], x.ms, "+OK")
 		}
-		e.none(t)
+		e.expectNoCall(t)
 		if x.term {
-			first.term()
-			first.end()
+			first.terminate()
+			first.awaitExit()
 		} else {
 			first.kill()
 		}
-		p.set(func() { p.silent = true })
+		p.update(func() { p.unresponsive = true })
 		next := startProcess(t, p, dir, known)
 		got := map[string]bool{}
 		for len(got) < 7 {
@@ -218,9 +218,9 @@
 			got[in.id()] = true
 			in.reply(200)
 		}
-		next.term()
-		next.end()
-		e.none(t)
+		next.terminate()
+		next.awaitExit()
+		e.expectNoCall(t)
 		if len(p.notices) != 0 {
 			t.Errorf("%s: notice %+v", x.name, <-p.notices)
 		}
@@ -228,18 +228,18 @@
 }
 
 // Settings that no longer name a message's class leave open whether it may be repeated: it takes no other class's way.
-func TestRestartWithoutAMessagesClass(t *testing.T) {
+func TestRestartEndsMessagesOfUnknownClass(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
 	for _, id := range []string{"untried", "open"} {
-		rec := accept(id, 10)
-		rec.Entry.Class, rec.Entry.Dest, rec.Entry.Deadline = "of old", 1, time.Now().Add(patience).UnixMicro()
+		rec := acceptRecord(id, 10)
+		rec.Entry.Class, rec.Entry.Destination, rec.Entry.Deadline = "of old", 1, time.Now().Add(testTimeout).UnixMicro()
 		mustAppend(t, j, rec)
 	}
 	mustAppend(t, j, record{Op: opSend, ID: "open"})
 	j.Close()
-	p, e := newPlatform(t), newEndpoint(t)
-	p.list = discovery.List{Generation: 1, Reset: true, Instances: instances(e)}
+	p, e := newTestPlatform(t), newTestEndpoint(t)
+	p.list = discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
 	n := startNode(t, p, dir, p.list)
 	ends := map[string]string{}
 	for range 2 {
@@ -249,16 +249,16 @@
 	if ends["untried"] != "returned" || ends["open"] != "failed" {
 		t.Errorf("ends %v", ends)
 	}
-	stopClean(t, n)
-	e.none(t)
+	stopWithNothingOwed(t, n)
+	e.expectNoCall(t)
 }
 
 // A sender of a large fleet dies with untried messages whose time is nearly up, more than its share of the limit lets
 // out in that time, and discovery answers nothing at its start: each of them is called all the same.
-func TestRestartWithLittleTimeLeft(t *testing.T) {
-	p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
-	p.silent = true
-	known := discovery.List{Generation: 1, Reset: true, Instances: instances(e)}
+func TestRestartSendsMessagesNearDeadline(t *testing.T) {
+	p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
+	p.unresponsive = true
+	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
 	known.Instances[0].Weight = 2
 	text := string(configText(p, known))
 	for old, with := range map[string]string{`"balancers":1,`: `"balancers":300,`, `"call_slots":6`: `"call_slots":24`} {
@@ -270,20 +270,20 @@
 	}
 	j := openJournal(t, dir, 3e6)
 	for i := range 12 {
-		rec := accept(fmt.Sprint("m", i), 10)
-		rec.Entry.Class, rec.Entry.Dest = []string{"safe", "unsafe"}[i%2], 1
+		rec := acceptRecord(fmt.Sprint("m", i), 10)
+		rec.Entry.Class, rec.Entry.Destination = []string{"safe", "unsafe"}[i%2], 1
 		rec.Entry.Deadline = time.Now().Add(2 * time.Second).UnixMicro()
 		mustAppend(t, j, rec)
 	}
 	j.Close()
-	n := startConfig(t, cfg, dir)
+	n := startNodeWithConfig(t, cfg, dir)
 	got := map[string]bool{}
 	for len(got) < 12 {
 		in := await(t, e.calls, fmt.Sprintf("call, after %d of 12 messages", len(got)))
 		got[in.id()] = true
 		in.reply(200)
 	}
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 	if len(p.notices) != 0 {
 		t.Errorf("notice %+v", <-p.notices)
 	}
@@ -298,7 +298,7 @@
 	}
 	for i := 0; j.size < j.limit*9/10; i++ {
 		id := fmt.Sprint("m", i)
-		recs := []record{accept(id, 1000), {Op: opBegin, ID: id}, {Op: opSend, ID: id}}
+		recs := []record{acceptRecord(id, 1000), {Op: opConnect, ID: id}, {Op: opSend, ID: id}}
 		if i%10 > 0 {
 			recs = append(recs, record{Op: opDone, ID: id})
 		}
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -19,40 +19,40 @@
 	"crossdeal/logic"
 )
 
-// gate is a request's body that lets a test act once a connection was chosen, before a byte is written.
-type gate struct {
+// hookReader is a request's body that lets a test act once a connection was chosen, before a byte is written.
+type hookReader struct {
 	io.Reader
-	act func()
+	onFirstRead func()
 }
 
-func (g *gate) Read(b []byte) (int, error) {
-	if g.act != nil {
-		g.act()
-		g.act = nil
+func (g *hookReader) Read(b []byte) (int, error) {
+	if g.onFirstRead != nil {
+		g.onFirstRead()
+		g.onFirstRead = nil
 	}
 	return g.Reader.Read(b)
 }
 
 // An endpoint closes or resets an idle connection just as a request goes out on it: the connection looked good, all of
 // the request is written, and it may have run for all that the sender knows. It is not sent again by the caller.
-func TestIdleConnectionEndsUnderARequest(t *testing.T) {
+func TestIdleConnectionClosedDuringRequestIsNotRetried(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		e, c := newEndpoint(t), testCaller()
-		got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
+		e, c := newTestEndpoint(t), newTestTransport()
+		got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
 		await(t, e.calls, "call").reply(200)
 		await(t, got, "result")
 		conn := (<-e.conns).(*net.TCPConn)
 		c.mu.Lock()
 		kept := c.idle[1][0]
 		c.mu.Unlock()
-		in := newCall(t, e.addr(), "hello", patience)
-		in.request.Body = io.NopCloser(&gate{strings.NewReader("hello"), func() {
+		in := newTestCall(t, e.addr(), "hello", testTimeout)
+		in.request.Body = io.NopCloser(&hookReader{strings.NewReader("hello"), func() {
 			if reset {
 				conn.SetLinger(0)
 			}
 			conn.Close()
-			for stop := time.Now().Add(patience); ; { // until it shows here
-				if alive, _ := peek(kept.Conn); !alive || time.Now().After(stop) {
+			for stop := time.Now().Add(testTimeout); ; { // until it shows here
+				if alive, _ := peekConn(kept.Conn); !alive || time.Now().After(stop) {
 					break
 				}
 			}
@@ -61,7 +61,7 @@
 		if !reset && r.outcome != logic.ConnBroken || reset && r.outcome != logic.ConnRefused {
 			t.Errorf("reset %v: got %+v", reset, r) // a reset shows before the write: nothing is written
 		}
-		e.none(t)
+		e.expectNoCall(t)
 		if n := len(e.conns); n != 0 {
 			t.Errorf("reset %v: %d further connections", reset, n)
 		}
@@ -69,61 +69,61 @@
 }
 
 // A message was forwarded after its end: its call was decided before and written after, on a kept connection.
-func TestCallIsNotWrittenAfterItsMessageHasEnded(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
-	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
+func TestCallIsNotSentAfterMessageEnd(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
 	await(t, e.calls, "call").reply(200)
 	await(t, got, "result")
 	for range 50 {
-		in := newCall(t, e.addr(), "hello", patience)
-		in.kept = c.take(in.ep, in.addr)
+		in := newTestCall(t, e.addr(), "hello", testTimeout)
+		in.reusedConn = c.takeIdle(in.endpoint, in.addr)
 		ctx, stop := context.WithCancelCause(t.Context())
-		h := &held{msg: &Message{ID: in.id}, call: in, stop: stop}
-		n := &Node{held: map[string]*held{in.id: h}, open: 1, recent: map[string]time.Time{}, clock: clock.New()}
-		n.finish(in.id, h) // before its goroutine has begun
+		h := &heldMessage{message: &Message{ID: in.id}, call: in, cancelCall: stop}
+		n := &Node{held: map[string]*heldMessage{in.id: h}, openMessages: 1, recentIDs: map[string]time.Time{}, clock: clock.New()}
+		n.endMessage(in.id, h) // before its goroutine has begun
 		if r := c.do(ctx, in); r.outcome != logic.NotSent {
 			t.Fatalf("got %+v", r)
 		}
 	}
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // A call was written although it had been called off before its first byte.
-func TestCallIsNotWrittenOnceCalledOff(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
-	got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
+func TestCancelledCallIsNotSent(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
 	await(t, e.calls, "call").reply(200)
 	await(t, got, "result")
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 50 {
-		in := newCall(t, e.addr(), "hello", patience)
-		in.kept = c.take(in.ep, in.addr)
+		in := newTestCall(t, e.addr(), "hello", testTimeout)
+		in.reusedConn = c.takeIdle(in.endpoint, in.addr)
 		if r := c.do(ctx, in); r.outcome != logic.NotSent {
 			t.Fatalf("got %+v", r)
 		}
 	}
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // A connection that comes up when the call's time is over is not written to: nothing of it runs late.
-func TestConnectionComesUpAfterTheDeadline(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
-	in := newCall(t, e.addr(), "hello", 50*time.Millisecond)
-	in.allow = func(context.Context) bool { // it is up; leave comes late
-		<-time.After(time.Until(in.at.Add(in.giveUp + time.Millisecond)))
+func TestConnectionOpenedAfterTimeoutIsNotUsed(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	in := newTestCall(t, e.addr(), "hello", 50*time.Millisecond)
+	in.mayWrite = func(context.Context) bool { // it is up; leave comes late
+		<-time.After(time.Until(in.startedAt.Add(in.timeout + time.Millisecond)))
 		return true
 	}
 	if r := c.do(t.Context(), in); r.outcome != logic.ConnRefused {
 		t.Errorf("got %+v, want RefusedConn", r)
 	}
 	await(t, e.conns, "connection")
-	e.none(t)
+	e.expectNoCall(t)
 }
 
 // Answers that never end cost their own message a second at most, and the connection.
-func TestEndlessAnswers(t *testing.T) {
-	e, c := newEndpoint(t), testCaller()
+func TestEndlessAnswersAreCutOff(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
 	for _, x := range []struct {
 		begin, on string
 		want      logic.Outcome
@@ -136,19 +136,19 @@
 		{"", "HTTP/1.1 100 Continue\r\n\r\n", logic.ConnBroken},
 		{"HTTP/1.1 ", "5", logic.ConnBroken},
 	} {
-		got := goDo(t.Context(), c, newCall(t, e.addr(), "hello", patience))
+		got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
 		in := await(t, e.calls, "call")
 		go func() {
 			_, err := io.WriteString(in.conn, x.begin)
 			for err == nil {
 				_, err = io.WriteString(in.conn, x.on)
 			}
-			in.done <- false
+			in.keepReading <- false
 		}()
 		if r := await(t, got, "result"); r.outcome != x.want {
 			t.Errorf("%q and on with %q: outcome %d, want %d", x.begin, x.on, r.outcome, x.want)
 		}
-		if c.kept() != 0 {
+		if c.idleCount() != 0 {
 			t.Errorf("%q: the connection is kept", x.begin)
 		}
 	}
@@ -156,7 +156,7 @@
 
 // An endpoint breaks an unsafe message's call after any number of its bytes: it is never seen whole twice, and it ends
 // once.
-func TestBreakAtEachStageOfACall(t *testing.T) {
+func TestUnsafeMessageIsReceivedAtMostOnceWhenCallBreaks(t *testing.T) {
 	for _, after := range []int{0, 1, 60, 1 << 20} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -190,16 +190,16 @@
 				}()
 			}
 		}()
-		p := newPlatform(t)
+		p := newTestPlatform(t)
 		known := discovery.List{Generation: 1, Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: ln.Addr().String(), Zone: "a", Kind: "std",
 			Dest: 1, Lifecycle: "up", Weight: 100}}}
 		p.list = known
 		n := startNode(t, p, t.TempDir(), known)
-		dial(t, n.addr).put("a", "unsafe", "+OK")
+		dialClient(t, n.addr).put("a", "unsafe", "+OK")
 		if x := await(t, p.notices, "notice"); x.ID != "a" {
 			t.Errorf("notice %+v", x)
 		}
-		stopClean(t, n)
+		stopWithNothingOwed(t, n)
 		mu.Lock()
 		if whole > 1 || len(p.notices) != 0 {
 			t.Errorf("broken after %d bytes: seen whole %d times, %d more notices", after, whole, len(p.notices))
@@ -210,11 +210,11 @@
 
 // Clients leave at any byte of a request, by an end or a reset; one leaves before its +OK and is back at once with the
 // same id on a new connection. Others are served, nothing stays behind, and each message runs once.
-func TestClientsLeaveAtAnyByte(t *testing.T) {
-	n, c, _, e := world(t, 1)
+func TestClientsDisconnectAtAnyByte(t *testing.T) {
+	n, c, _, e := startNodeWithEndpoints(t, 1)
 	request := "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$1\r\na\r\n$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n"
 	for cut := range len(request) {
-		gone := dial(t, n.addr)
+		gone := dialClient(t, n.addr)
 		io.WriteString(gone.conn, request[:cut])
 		if cut%2 == 1 {
 			gone.conn.(*net.TCPConn).SetLinger(0)
@@ -224,14 +224,14 @@
 	if got := c.do("PING"); got != "+PONG" {
 		t.Fatalf("another client got %q", got)
 	}
-	e[0].none(t)
-	gone := dial(t, n.addr)
+	e[0].expectNoCall(t)
+	gone := dialClient(t, n.addr)
 	io.WriteString(gone.conn, request)
 	gone.conn.(*net.TCPConn).SetLinger(0)
 	gone.conn.Close() // before its answer
-	again := dial(t, n.addr)
+	again := dialClient(t, n.addr)
 	io.WriteString(again.conn, request)
-	if got := again.line(); got != "+OK" {
+	if got := again.readLine(); got != "+OK" {
 		t.Fatalf("back with the same id: %q", got)
 	}
 	in := await(t, e[0].calls, "call")
@@ -241,7 +241,7 @@
 		t.Errorf("call with %s again", in.id())
 	}
 	in.reply(200)
-	for stop := time.Now().Add(patience); ; {
+	for stop := time.Now().Add(testTimeout); ; {
 		n.clients.mu.Lock()
 		left := len(n.clients.conns)
 		n.clients.mu.Unlock()
@@ -252,31 +252,31 @@
 			t.Fatalf("%d connections are left", left)
 		}
 	}
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 }
 
 // An endpoint goes and comes back under its name and address while a call runs there: the call's answer counts once,
 // and the endpoint is used again. An answer for a message that has ended meanwhile does no harm.
-func TestEndpointGoesAndComesBack(t *testing.T) {
-	n, c, p, e := world(t, 1)
+func TestRemovedEndpointReturnsDuringCall(t *testing.T) {
+	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "unsafe", "+OK")
 	in := await(t, e[0].calls, "call")
-	list := instances(e[0])
+	list := instancesOf(e[0])
 	list[0].Lifecycle = "removed"
-	p.set(func() { p.list = discovery.List{Generation: 2, Instances: list} })
-	taken(t, p, 2)
+	p.update(func() { p.list = discovery.List{Generation: 2, Instances: list} })
+	awaitListRequestFrom(t, p, 2)
 	c.put("b", "unsafe", "+OK") // waits
-	e[0].none(t)
-	p.set(func() { p.list = discovery.List{Generation: 3, Instances: instances(e[0])} })
+	e[0].expectNoCall(t)
+	p.update(func() { p.list = discovery.List{Generation: 3, Instances: instancesOf(e[0])} })
 	second := await(t, e[0].calls, "call of what waited")
 	in.reply(200)
 	second.reply(200)
-	c.putFor("c", "unsafe", 200, "+OK")
+	c.putWithTime("c", "unsafe", 200, "+OK")
 	late := await(t, e[0].calls, "call")
 	if x := await(t, p.notices, "notice"); x != (Notice{ID: "c", State: "failed"}) {
 		t.Errorf("notice %+v", x)
 	}
-	late.awaitEnd(t)
+	late.awaitClose(t)
 	late.reply(200)
 	c.put("d", "unsafe", "+OK")
 	last := await(t, e[0].calls, "call")
@@ -284,44 +284,44 @@
 		t.Errorf("call with %s", last.id())
 	}
 	last.reply(200)
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 	if len(p.notices) != 0 {
 		t.Errorf("notice %+v", <-p.notices)
 	}
 }
 
 // SIGHUP while a sender stops: what it still owes goes to the new address, and it ends in good order.
-func TestHangupCrossesTerm(t *testing.T) {
-	p, q, e, dir := newPlatform(t), newPlatform(t), newEndpoint(t), t.TempDir()
-	known := discovery.List{Generation: 1, Reset: true, Instances: instances(e)}
+func TestSIGHUPDuringShutdown(t *testing.T) {
+	p, q, e, dir := newTestPlatform(t), newTestPlatform(t), newTestEndpoint(t), t.TempDir()
+	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
 	p.list, q.list = known, known
 	x := startProcess(t, p, dir, known)
-	c := dial(t, x.addr)
+	c := dialClient(t, x.addr)
 	c.put("a", "unsafe", "+OK")
 	in := await(t, e.calls, "call")
-	x.term()
-	if got := c.line(); got != "" {
+	x.terminate()
+	if got := c.readLine(); got != "" {
 		t.Errorf("got %q", got)
 	}
-	if err := os.WriteFile(x.config, configText(q, known), 0o600); err != nil {
+	if err := os.WriteFile(x.configPath, configText(q, known), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	x.cmd.Process.Signal(syscall.SIGHUP)
-	await(t, q.asked, "call to the new address")
+	await(t, q.listRequests, "call to the new address")
 	in.reply(500)
 	if got := await(t, q.notices, "notice"); got != (Notice{ID: "a", State: "failed"}) {
 		t.Errorf("notice %+v", got)
 	}
-	x.end()
-	if ids := owed(t, dir); ids != nil || len(p.notices) != 0 {
+	x.awaitExit()
+	if ids := owedIDs(t, dir); ids != nil || len(p.notices) != 0 {
 		t.Errorf("still owed: %v; the old address got %d notices", ids, len(p.notices))
 	}
 }
 
 // A process that takes over goes on with the watch at once, however many senders there are: it is no first start, whose
 // calls are spread.
-func TestTakeoverWatchesAtOnce(t *testing.T) {
-	p := newPlatform(t)
+func TestTakeoverStartsWatchAtOnce(t *testing.T) {
+	p := newTestPlatform(t)
 	text := strings.Replace(string(configText(p, discovery.List{})), `"balancers":1,`, `"balancers":300,`, 1)
 	cfg, err := ParseConfig([]byte(text))
 	if err != nil {
@@ -333,23 +333,23 @@
 		t.Fatal(err)
 	}
 	defer n.close()
-	start := recordStart(n)
+	start := recordWatchStart(n)
 	n.adopt(t.Context(), &takeover{stateTransfer: stateTransfer{At: time.Now().UnixMicro(), IDs: map[string]logic.EndpointID{}}})
 	if !start.restart { // else the client would spread its first call
 		t.Error("the watch begins as at a first start")
 	}
-	n.listen(t.Context())
-	await(t, p.asked, "call for the list")
+	n.watchList(t.Context())
+	await(t, p.listRequests, "call for the list")
 	await(t, n.events, "its answer") // the watch ends with the test
 }
 
 // Clients send much at once, read none of it back and go: nobody else waits for them, and nothing of them stays.
-func TestClientsSendMuchAndGo(t *testing.T) {
-	n, c, _, e := world(t, 1)
+func TestFloodingClientsDoNotBlockOthers(t *testing.T) {
+	n, c, _, e := startNodeWithEndpoints(t, 1)
 	for k, text := range []string{"*1\r\n$4\r\nPING\r\n", "*1\r\n$3\r\nNOT\r\n", "nonsense ", "*9\r\n$1\r\nx\r\n"} {
-		flood := dial(t, n.addr)
+		flood := dialClient(t, n.addr)
 		go func() { // until the sender has had enough, or reads no more for want of a reader
-			flood.conn.SetWriteDeadline(time.Now().Add(patience))
+			flood.conn.SetWriteDeadline(time.Now().Add(testTimeout))
 			for sent := 0; sent < 8<<20; {
 				k, err := io.WriteString(flood.conn, strings.Repeat(text, 1000))
 				if sent += k; err != nil {
@@ -367,7 +367,7 @@
 			await(t, e[0].calls, "call").reply(200)
 		}
 	}
-	for stop := time.Now().Add(patience); ; {
+	for stop := time.Now().Add(testTimeout); ; {
 		n.clients.mu.Lock()
 		left := len(n.clients.conns)
 		n.clients.mu.Unlock()
@@ -379,5 +379,5 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -12,33 +12,33 @@
 	"crossdeal/logic"
 )
 
-// startRecorder is a watcher that keeps what it began with.
-type startRecorder struct {
-	watcher
+// watchStartRecorder is a watcher that keeps what it began with.
+type watchStartRecorder struct {
+	listWatcher
 	generation int64
 	restart    bool
 }
 
-func (r *startRecorder) Begin(generation int64, restart bool) {
+func (r *watchStartRecorder) Begin(generation int64, restart bool) {
 	r.generation, r.restart = generation, restart
-	r.watcher.Begin(generation, restart)
+	r.listWatcher.Begin(generation, restart)
 }
 
-func recordStart(n *Node) *startRecorder {
-	r := &startRecorder{watcher: n.disc}
-	n.disc = r
+func recordWatchStart(n *Node) *watchStartRecorder {
+	r := &watchStartRecorder{listWatcher: n.watcher}
+	n.watcher = r
 	return r
 }
 
-// learn has the loop take a list.
-func learn(n *Node, l discovery.List) {
-	n.list(discovery.Event{Update: n.dir.Reduce(l), News: true})
+// applyList has the loop take a list.
+func applyList(n *Node, l discovery.List) {
+	n.handleListEvent(discovery.Event{Update: n.directory.Reduce(l), News: true})
 }
 
 // A sender that finds its folder in use comes back on a list that may be old, also if its journal is empty, as after a
 // rewrite with nothing owed or with no message ever; one that finds an empty folder starts anew.
-func TestJournalShowsARestart(t *testing.T) {
-	cfg, err := ParseConfig(configText(newPlatform(t), discovery.List{Generation: 1}))
+func TestRestartIsDetectedFromStateFolder(t *testing.T) {
+	cfg, err := ParseConfig(configText(newTestPlatform(t), discovery.List{Generation: 1}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,9 +48,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		start := recordStart(n)
-		n.resume()
-		if old := n.next[0].(logic.ListUpdate).Stale; old != want || start.restart != want || start.generation != 1 {
+		start := recordWatchStart(n)
+		n.resumeFromJournal()
+		if old := n.nextEvents[0].(logic.ListUpdate).Stale; old != want || start.restart != want || start.generation != 1 {
 			t.Errorf("old %v, the watch begins with %+v, want %v", old, start, want)
 		}
 		switch i { // 0: nothing was ever written
@@ -66,10 +66,10 @@
 }
 
 // A list costs what its rows and the calls that are out cost, not their product.
-func TestListCostsRowsAndCalls(t *testing.T) {
+func TestListUpdateCostDoesNotMultiplyRowsByCalls(t *testing.T) {
 	const rows = 20000
 	cost := func(calls int) time.Duration {
-		cfg, err := ParseConfig(configText(newPlatform(t), discovery.List{}))
+		cfg, err := ParseConfig(configText(newTestPlatform(t), discovery.List{}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -80,7 +80,7 @@
 		}
 		defer n.close()
 		for i := range calls { // each to an endpoint that the list does not have
-			n.held[strconv.Itoa(i)] = &held{call: &call{ep: logic.EndpointID(rows + 1 + i), state: new(atomic.Int32)}, stop: func(error) {}}
+			n.held[strconv.Itoa(i)] = &heldMessage{call: &call{endpoint: logic.EndpointID(rows + 1 + i), state: new(atomic.Int32)}, cancelCall: func(error) {}}
 		}
 		least := time.Hour
 		for i := range 3 {
@@ -88,9 +88,9 @@
 			for k := range rows {
 				l.Instances = append(l.Instances, discovery.Instance{ID: strconv.Itoa(k), HostPort: fmt.Sprintf("h:%d", i+1), Lifecycle: "up"})
 			}
-			u := n.dir.Reduce(l)
+			u := n.directory.Reduce(l)
 			at := time.Now()
-			n.list(discovery.Event{Update: u, News: true})
+			n.handleListEvent(discovery.Event{Update: u, News: true})
 			least = min(least, time.Since(at))
 		}
 		return least
@@ -101,12 +101,12 @@
 }
 
 // How long a list may be follows from the memory that the platform gives.
-func TestListFitsMemory(t *testing.T) {
+func TestMaxListSizeFollowsMemory(t *testing.T) {
 	for _, x := range []struct {
 		memory float64
 		want   int64
 	}{{0, 4 << 20}, {16, 4 << 20}, {192, 24 << 20}, {256, 32 << 20}} {
-		if got := (Limits{MemoryMB: x.memory}).listBytes(); got != x.want {
+		if got := (Limits{MemoryMB: x.memory}).maxListBytes(); got != x.want {
 			t.Errorf("%v MB: %d bytes, want %d", x.memory, got, x.want)
 		}
 	}
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -17,105 +17,105 @@
 
 // The rules that the guard checks.
 const (
-	ruleDrain       rule = "drain"       // nothing to an endpoint that is not up, or that an operator has taken out
-	ruleUnconfirmed rule = "unconfirmed" // nothing on a list that may be old by now
-	ruleWait        rule = "wait"        // nothing to where a wait was asked for
-	ruleDestination rule = "destination" // only endpoints of the message's destination
-	ruleOnce        rule = "once"        // one attempt of a message at a time, and none once it is over
-	ruleAttempts    rule = "attempts"    // no more attempts than the settings allow
-	ruleRepeat      rule = "repeat"      // what may have run is repeated only as its class allows
-	ruleDeadline    rule = "deadline"    // nothing after a message's time
-	ruleState       rule = "state"       // a client's connection goes from state to state as it may
-	ruleAnswer      rule = "answer"      // a request that was read has its answer before its connection is closed
-	ruleEnd         rule = "end"         // a message ends once
-	ruleStart       rule = "start"       // what the journal holds at a start is held, or its end is told
+	ruleDrain         rule = "drain"       // nothing to an endpoint that is not up, or that an operator has taken out
+	ruleUnconfirmed   rule = "unconfirmed" // nothing on a list that may be old by now
+	ruleWait          rule = "wait"        // nothing to where a wait was asked for
+	ruleDestination   rule = "destination" // only endpoints of the message's destination
+	ruleSingleAttempt rule = "once"        // one attempt of a message at a time, and none once it is over
+	ruleAttempts      rule = "attempts"    // no more attempts than the settings allow
+	ruleRepeat        rule = "repeat"      // what may have run is repeated only as its class allows
+	ruleDeadline      rule = "deadline"    // nothing after a message's time
+	ruleState         rule = "state"       // a client's connection goes from state to state as it may
+	ruleAnswer        rule = "answer"      // a request that was read has its answer before its connection is closed
+	ruleEnd           rule = "end"         // a message ends once
+	ruleStart         rule = "start"       // what the journal holds at a start is held, or its end is told
 )
 
 const (
-	waitSlack     = 100 * time.Millisecond // calls that cross the answer with a wait are let through
-	violationLogs = 20                     // lines in a life
+	waitSlack        = 100 * time.Millisecond // calls that cross the answer with a wait are let through
+	maxViolationLogs = 20                     // lines in a life
 )
 
 // guard counts what was about to break a rule, and what was stopped since things had changed since the decision. A
 // violation is a fault of this program: it is never expected to count any.
 type guard struct {
-	log      *slog.Logger
-	mu       sync.Mutex
-	broken   map[rule]int
-	withheld map[rule]int
-	logged   int
+	log              *slog.Logger
+	mu               sync.Mutex
+	violationCounts  map[rule]int
+	withheldCounts   map[rule]int
+	loggedViolations int
 
 	// What follows belongs to the loop.
-	waits map[waitTarget]toldWait
+	waits map[waitTarget]requestedWait
 }
 
 // waitTarget is where a wait holds: a destination, or one endpoint of it where endpoints are routes apart.
 type waitTarget struct {
-	dest     int64
-	endpoint logic.EndpointID // 0: all of the destination
+	destination int64
+	endpoint    logic.EndpointID // 0: all of the destination
 }
 
-// toldWait is a wait that an answer asked for.
-type toldWait struct {
+// requestedWait is a wait that an answer asked for.
+type requestedWait struct {
 	since time.Time
 	until time.Time
 }
 
 func newGuard(log *slog.Logger) *guard {
-	return &guard{log: log, broken: map[rule]int{}, withheld: map[rule]int{}, waits: map[waitTarget]toldWait{}}
+	return &guard{log: log, violationCounts: map[rule]int{}, withheldCounts: map[rule]int{}, waits: map[waitTarget]requestedWait{}}
 }
 
-// violation counts a rule that was about to be broken, or was.
-func (g *guard) violation(r rule, attrs ...any) {
+// recordViolation counts a rule that was about to be broken, or was.
+func (g *guard) recordViolation(r rule, attrs ...any) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.broken[r]++
-	if g.logged++; g.logged <= violationLogs {
+	g.violationCounts[r]++
+	if g.loggedViolations++; g.loggedViolations <= maxViolationLogs {
 		g.log.Error("rule broken", append([]any{"rule", string(r)}, attrs...)...)
 	}
 }
 
-// hold counts an action that was right when it was decided and is not any more.
-func (g *guard) hold(r rule) {
+// recordWithheld counts an action that was right when it was decided and is not any more.
+func (g *guard) recordWithheld(r rule) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.withheld[r]++
+	g.withheldCounts[r]++
 }
 
-// violations is how many there were in this process's life.
-func (g *guard) violations() (count int) {
+// violationTotal is how many there were in this process's life.
+func (g *guard) violationTotal() (count int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, n := range g.broken {
+	for _, n := range g.violationCounts {
 		count += n
 	}
 	return count
 }
 
-// report returns what was counted so far, as names and counts in order of name.
-func (g *guard) report() []any {
+// countAttrs returns what was counted so far, as names and counts in order of name.
+func (g *guard) countAttrs() []any {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []any
-	for _, r := range slices.Sorted(maps.Keys(g.broken)) {
-		out = append(out, "broken_"+string(r), g.broken[r])
+	for _, r := range slices.Sorted(maps.Keys(g.violationCounts)) {
+		out = append(out, "broken_"+string(r), g.violationCounts[r])
 	}
-	for _, r := range slices.Sorted(maps.Keys(g.withheld)) {
-		out = append(out, "withheld_"+string(r), g.withheld[r])
+	for _, r := range slices.Sorted(maps.Keys(g.withheldCounts)) {
+		out = append(out, "withheld_"+string(r), g.withheldCounts[r])
 	}
 	return out
 }
 
-// wait notes a wait that an answer asked for.
-func (g *guard) wait(at waitTarget, span time.Duration, now time.Time) {
+// addWait notes a wait that an answer asked for.
+func (g *guard) addWait(at waitTarget, span time.Duration, now time.Time) {
 	until := now.Add(span)
 	if until.After(g.waits[at].until) {
-		g.waits[at] = toldWait{since: now, until: until}
+		g.waits[at] = requestedWait{since: now, until: until}
 	}
 }
 
-// waiting says whether a wait holds somewhere; those that are over are dropped.
-func (g *guard) waiting(at waitTarget, now time.Time) bool {
+// waitActive says whether a wait holds somewhere; those that are over are dropped.
+func (g *guard) waitActive(at waitTarget, now time.Time) bool {
 	w, ok := g.waits[at]
 	if ok && !now.Before(w.until) {
 		delete(g.waits, at)
@@ -126,52 +126,52 @@
 
 // waitTargetOf is where a wait of an endpoint holds.
 func (n *Node) waitTargetOf(ep logic.EndpointID, to discovery.Target) waitTarget {
-	if kinds := n.cfg.Deploy.Settings.Kinds; to.Kind >= 0 && to.Kind < len(kinds) && kinds[to.Kind].SeparateRoutes {
+	if kinds := n.cfg.Deployment.Settings.Kinds; to.Kind >= 0 && to.Kind < len(kinds) && kinds[to.Kind].SeparateRoutes {
 		return waitTarget{to.Dest, ep}
 	}
-	return waitTarget{dest: to.Dest}
+	return waitTarget{destination: to.Dest}
 }
 
 // checkSend says which rule a call of h to an endpoint would break now; empty if none.
-func (n *Node) checkSend(h *held, ep logic.EndpointID, now time.Time) rule {
-	set := &n.cfg.Deploy.Settings
+func (n *Node) checkSend(h *heldMessage, ep logic.EndpointID, now time.Time) rule {
+	set := &n.cfg.Deployment.Settings
 	to := n.target(ep)
 	switch {
-	case h.over:
-		return ruleOnce
-	case to.Lifecycle != "" && to.Lifecycle != "up" || n.journal.out[n.dir.Name(ep)]:
+	case h.ended:
+		return ruleSingleAttempt
+	case to.Lifecycle != "" && to.Lifecycle != "up" || n.journal.disabled[n.directory.Name(ep)]:
 		return ruleDrain
-	case to.Dest != h.msg.Dest:
+	case to.Dest != h.message.Destination:
 		return ruleDestination
-	case !now.Before(n.clock.Time(h.msg.Deadline)):
+	case !now.Before(n.clock.Time(h.message.Deadline)):
 		return ruleDeadline
-	case n.guard.waiting(n.waitTargetOf(ep, to), now):
+	case n.guard.waitActive(n.waitTargetOf(ep, to), now):
 		return ruleWait
-	case n.mayNotRepeat(h.msg, now):
+	case n.repeatForbidden(h.message, now):
 		return ruleRepeat
-	case n.sender.ListUnconfirmed(micros(time.Since(n.start))):
+	case n.sender.ListUnconfirmed(toMicros(time.Since(n.startedAt))):
 		return ruleUnconfirmed
-	case set.MaxTries > 0 && h.tries > set.MaxTries:
+	case set.MaxTries > 0 && h.attempts > set.MaxTries:
 		return ruleAttempts
 	}
 	return ""
 }
 
-// mayNotRepeat says whether a message may have run and is not to be sent again.
-func (n *Node) mayNotRepeat(m *Message, now time.Time) bool {
+// repeatForbidden says whether a message may have run and is not to be sent again.
+func (n *Node) repeatForbidden(m *Message, now time.Time) bool {
 	e := n.journal.Entry(m.ID)
-	if e == nil || !e.MayRun {
+	if e == nil || !e.MayHaveRun {
 		return false
 	}
-	class, ok := n.cfg.Classes[m.Class]
+	class, ok := n.cfg.ClassIndexes[m.Class]
 	if !ok {
 		return true
 	}
-	switch c := n.cfg.Deploy.Settings.Classes[class]; c.Effect {
+	switch c := n.cfg.Deployment.Settings.Classes[class]; c.Effect {
 	case logic.Unsafe:
 		return true
 	case logic.Keyed:
-		return now.After(n.clock.Time(e.FirstMay).Add(span(c.Window)))
+		return now.After(n.clock.Time(e.FirstMayHaveRunAt).Add(toDuration(c.Window)))
 	}
 	return false
 }
@@ -185,18 +185,18 @@
 	}
 	broken := n.checkSend(h, ep, time.Now())
 	switch {
-	case broken == "" && h.stop != nil:
-		broken = ruleOnce
-	case broken == "" && n.cfg.Deploy.Settings.MaxTries > 0 && h.tries >= n.cfg.Deploy.Settings.MaxTries:
+	case broken == "" && h.cancelCall != nil:
+		broken = ruleSingleAttempt
+	case broken == "" && n.cfg.Deployment.Settings.MaxTries > 0 && h.attempts >= n.cfg.Deployment.Settings.MaxTries:
 		broken = ruleAttempts
 	}
 	switch broken {
 	case "":
 		return true
 	case ruleUnconfirmed, ruleDeadline:
-		n.guard.hold(broken)
+		n.guard.recordWithheld(broken)
 	default:
-		n.guard.violation(broken, "id", id, "endpoint", n.dir.Name(ep), "attempt", h.tries, "generation", n.generation)
+		n.guard.recordViolation(broken, "id", id, "endpoint", n.directory.Name(ep), "attempt", h.attempts, "generation", n.listGeneration)
 	}
 	return false
 }
@@ -204,11 +204,11 @@
 // permitWrite checks a call again once its connection is up: what it was decided on may have changed meanwhile.
 func (n *Node) permitWrite(c *call) bool {
 	h := n.held[c.id]
-	if h == nil || h.call != c || h.over || c.state.Load() != callConnecting {
+	if h == nil || h.call != c || h.ended || c.state.Load() != callConnecting {
 		return false
 	}
-	if broken := n.checkSend(h, c.ep, time.Now()); broken != "" {
-		n.guard.hold(broken)
+	if broken := n.checkSend(h, c.endpoint, time.Now()); broken != "" {
+		n.guard.recordWithheld(broken)
 		return false
 	}
 	return true
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -20,36 +20,36 @@
 )
 
 const (
-	lockName            = "lock"     // in the state folder: whoever holds its lock owns the messages
-	socketName          = "handover" // beside it: where the owner hands over
-	handWord            = "take 1"   // what a successor says first; the number is that of the form: all in one text ...
-	handRows            = "take 2"   // ... or a text, and the tables row by row
-	handTaken           = "taken\n"  // and last
-	handTime            = time.Second
-	handPause           = 50 * time.Millisecond  // before the owner is asked again
-	freezeTime          = 100 * time.Millisecond // for half-read requests to come to their end before the state is packed
-	freezeLook          = time.Millisecond
-	lingerAdmin         = 2 * time.Second // after a handover, for operators that still call the old address
-	reservedDescriptors = 16              // of each process: lock, journal, discovery, notices and the like
-	handBatch           = 200             // descriptors in one message; the kernel takes 253
-	mostText            = 64 << 20
-	textEach            = 600             // bytes of one text for each name, at least
-	mostRow             = 1 << 20         // bytes
-	handStall           = 2 * time.Second // a successor that takes nothing for so long has failed
-	handRest            = time.Second     // after a transfer that failed, before the next: each keeps the owner from its work
+	lockFileName                = "lock"     // in the state folder: whoever holds its lock owns the messages
+	handoverSocketName          = "handover" // beside it: where the owner hands over
+	handoverRequestText         = "take 1"   // what a successor says first; the number is that of the form: all in one text ...
+	handoverRequestRows         = "take 2"   // ... or a text, and the tables row by row
+	handoverAck                 = "taken\n"  // and last
+	handoverRequestTimeout      = time.Second
+	handoverRetryDelay          = 50 * time.Millisecond  // before the owner is asked again
+	freezeTimeout               = 100 * time.Millisecond // for half-read requests to come to their end before the state is packed
+	freezePollInterval          = time.Millisecond
+	adminLingerTime             = 2 * time.Second // after a handover, for operators that still call the old address
+	handoverReservedDescriptors = 16              // of each process: lock, journal, discovery, notices and the like
+	maxDescriptorsPerMessage    = 200             // descriptors in one message; the kernel takes 253
+	maxStateTextBytes           = 64 << 20
+	minTextBytesPerName         = 600             // bytes of one text for each name, at least
+	maxRowBytes                 = 1 << 20         // bytes
+	handoverStallTimeout        = 2 * time.Second // a successor that takes nothing for so long has failed
+	handoverFailureDelay        = time.Second     // after a transfer that failed, before the next: each keeps the owner from its work
 )
 
 var (
-	errLocked  = errors.New("another process owns the state")
-	errHanded  = errors.New("handed over to a new process")
-	errForm    = errors.New("the owner does not hand over, or not in this form")
-	errBroken  = errors.New("the state transfer broke off")
-	errTooMuch = errors.New("a state too large for one text")
+	errStateLocked    = errors.New("another process owns the state")
+	errHandedOver     = errors.New("handed over to a new process")
+	errHandoverFormat = errors.New("the owner does not hand over, or not in this form")
+	errTransferBroken = errors.New("the state transfer broke off")
+	errStateTooLarge  = errors.New("a state too large for one text")
 )
 
 // lockState makes this process the owner of the state folder, until the file is closed everywhere.
 func lockState(dir string) (*os.File, error) {
-	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
+	f, err := os.OpenFile(filepath.Join(dir, lockFileName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("lock: %w", err)
 	}
@@ -60,7 +60,7 @@
 		}
 	}
 	if errors.Is(err, syscall.EWOULDBLOCK) {
-		err = errLocked
+		err = errStateLocked
 	}
 	if err != nil {
 		f.Close()
@@ -69,22 +69,22 @@
 	return f, nil
 }
 
-// socketPath names the socket by a path that is short enough for its kind, whatever the folder's. The file is to be
+// handoverSocketPath names the socket by a path that is short enough for its kind, whatever the folder's. The file is to be
 // closed once the name has been used.
-func socketPath(dir string) (string, *os.File, error) {
+func handoverSocketPath(dir string) (string, *os.File, error) {
 	d, err := os.Open(dir)
 	if err != nil {
 		return "", nil, err
 	}
-	return fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), socketName), d, nil
+	return fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), handoverSocketName), d, nil
 }
 
 // listenHandover opens the socket for successors. Only the owner of the state may.
 func listenHandover(dir string) (*net.UnixListener, error) {
-	if err := os.Remove(filepath.Join(dir, socketName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := os.Remove(filepath.Join(dir, handoverSocketName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
-	path, d, err := socketPath(dir)
+	path, d, err := handoverSocketPath(dir)
 	if err != nil {
 		return nil, err
 	}
@@ -97,8 +97,8 @@
 	return ln, nil
 }
 
-// meet lets successors in, one after the other, until the listener is closed.
-func (n *Node) meet(work context.Context, ln *net.UnixListener) {
+// acceptSuccessors lets successors in, one after the other, until the listener is closed.
+func (n *Node) acceptSuccessors(work context.Context, ln *net.UnixListener) {
 	defer context.AfterFunc(work, func() { ln.Close() })()
 	for {
 		conn, err := ln.AcceptUnix()
@@ -108,13 +108,13 @@
 			}
 			return
 		}
-		conn.SetDeadline(time.Now().Add(handTime))
-		line, err := bufio.NewReader(io.LimitReader(conn, orderLine)).ReadString('\n')
+		conn.SetDeadline(time.Now().Add(handoverRequestTimeout))
+		line, err := bufio.NewReader(io.LimitReader(conn, maxCommandBytes)).ReadString('\n')
 		line = strings.TrimSuffix(line, "\n")
-		admin, ok := strings.CutPrefix(line, handWord+" ")
+		admin, ok := strings.CutPrefix(line, handoverRequestText+" ")
 		inRows := false
 		if !ok {
-			admin, inRows = strings.CutPrefix(line, handRows+" ")
+			admin, inRows = strings.CutPrefix(line, handoverRequestRows+" ")
 		}
 		if err != nil || !ok && !inRows {
 			n.log.Warn("handover to a process that does not ask for it in this form", "err", err)
@@ -132,9 +132,9 @@
 
 // successor is a process that asks to take over.
 type successor struct {
-	conn   *net.UnixConn
-	admin  string // where operators call it; "-" if nowhere
-	inRows bool   // it takes the tables row by row
+	conn      *net.UnixConn
+	adminAddr string // where operators call it; "-" if nowhere
+	takesRows bool   // it takes the tables row by row
 }
 
 // handOver gives all to a successor and says whether it has taken it. The loop calls it: nothing is decided meanwhile.
@@ -145,168 +145,168 @@
 	if n.closing {
 		return false // it takes over once we have ended
 	}
-	if time.Now().Before(n.handAfter) {
+	if time.Now().Before(n.noHandoverBefore) {
 		return false // all would stand still for nothing once more
 	}
-	if names := n.names(); !to.inRows && names > mostText/textEach {
+	if names := n.nameCount(); !to.takesRows && names > maxStateTextBytes/minTextBytesPerName {
 		n.log.Warn("too much for a handover to a process that takes all in one text: it waits for our end", "names", names)
 		return false
 	}
 	start := time.Now()
-	n.admit(errHanded)
+	n.setReadiness(errHandedOver)
 	n.freeze(work, start)
-	for len(n.next) > 0 {
-		events := n.next
-		n.next = nil
-		n.carryOut(work, n.sender.ApplyWithoutSending(micros(time.Since(n.start)), events))
-	}
-	p, conns, left := n.pack(to.inRows)
-	err := n.send(to, p, conns, stopped)
-	if err != nil && !errors.Is(err, errHanded) {
+	for len(n.nextEvents) > 0 {
+		events := n.nextEvents
+		n.nextEvents = nil
+		n.executeActions(work, n.sender.ApplyWithoutSending(toMicros(time.Since(n.startedAt)), events))
+	}
+	p, conns, left := n.packState(to.takesRows)
+	err := n.sendState(to, p, conns, stopped)
+	if err != nil && !errors.Is(err, errHandedOver) {
 		n.log.Error("handover failed, going on", "err", err)
 		n.unfreeze(work, conns, left)
-		n.handAfter = time.Now().Add(handRest)
+		n.noHandoverBefore = time.Now().Add(handoverFailureDelay)
 		return false
 	}
-	n.clients.handed(n.ln.Addr().String(), conns.clients, left)
+	n.clients.completeHandover(n.listener.Addr().String(), conns.clients, left)
 	for _, x := range conns.calls {
 		x.Close()
 	}
 	for _, x := range conns.idle {
 		x.Close()
 	}
-	n.ln.Close()
+	n.listener.Close()
 	if n.admin != nil {
-		n.admin.handed(to.admin)
+		n.admin.redirect(to.adminAddr)
 	}
 	n.log.Info("handed over", "calls", len(p.Calls), "clients", len(p.Clients), "kept", len(left), "idle", len(p.Idle),
-		"held", len(p.Held), "bytes", p.size, "took", time.Since(start).String())
+		"held", len(p.Held), "bytes", p.bytesSent, "took", time.Since(start).String())
 	return true
 }
 
 // freeze lets what is under way come to a point where it can be handed over: requests have their answers, clients'
 // connections wait for the next, calls wait for their answers or have them.
 func (n *Node) freeze(work context.Context, start time.Time) {
-	look := time.NewTicker(freezeLook)
+	look := time.NewTicker(freezePollInterval)
 	defer look.Stop()
 	n.clients.freeze()
-	n.ln.(*net.TCPListener).SetDeadline(time.Unix(1, 0))
-	for !n.clients.frozenAll(time.Since(start) > freezeTime) {
+	n.listener.(*net.TCPListener).SetDeadline(time.Unix(1, 0))
+	for !n.clients.allFrozen(time.Since(start) > freezeTimeout) {
 		select {
 		case ev := <-n.events:
-			n.take(ev)
+			n.handleEvent(ev)
 			n.step(work)
 		case <-look.C:
 			n.step(work)
 		}
 	}
-	n.hold(func(logic.EndpointID) bool { return true })
-	for n.afoot() > 0 {
+	n.withholdCalls(func(logic.EndpointID) bool { return true })
+	for n.parkSentCalls() > 0 {
 		select {
 		case ev := <-n.events:
-			n.take(ev)
+			n.handleEvent(ev)
 		case <-look.C:
 		}
 	}
 	for more := true; more; {
 		select {
 		case ev := <-n.events:
-			n.take(ev)
+			n.handleEvent(ev)
 		default:
 			more = false
 		}
 	}
 }
 
-// afoot sets calls aside that only wait for their answers, and counts those that have still to come to that or to
+// parkSentCalls sets calls aside that only wait for their answers, and counts those that have still to come to that or to
 // their outcome.
-func (n *Node) afoot() (count int) {
+func (n *Node) parkSentCalls() (count int) {
 	for _, h := range n.held {
-		if h.stop == nil || h.parked != nil {
+		if h.cancelCall == nil || h.parkedConn != nil {
 			continue
 		}
 		count++
 		if h.call.state.CompareAndSwap(callSent, callParked) {
-			h.stop(errParked)
+			h.cancelCall(errParked)
 		}
 	}
 	return count
 }
 
-// handConns are the connections that go with a state transfer.
-type handConns struct {
-	calls   []*idleConn
-	idle    []*idleConn
-	idleOf  []logic.EndpointID
-	clients []net.Conn
-	of      []*held // of calls
+// transferConns are the connections that go with a state transfer.
+type transferConns struct {
+	calls         []*endpointConn
+	idle          []*endpointConn
+	idleEndpoints []logic.EndpointID
+	clients       []net.Conn
+	callMessages  []*heldMessage // of calls
 }
 
-// pack makes the state transfer. Both processes together may hold so many descriptors: what goes beyond that stays here, calls
+// packState makes the state transfer. Both processes together may hold so many descriptors: what goes beyond that stays here, calls
 // going first and idle connections last.
-func (n *Node) pack(inRows bool) (*stateTransfer, *handConns, []net.Conn) {
-	p := &stateTransfer{At: n.clock.Now(), Clock: micros(time.Since(n.start)), Discovery: n.disc.Address(),
-		Generation: n.generation, Recent: map[string]int64{}}
+func (n *Node) packState(inRows bool) (*stateTransfer, *transferConns, []net.Conn) {
+	p := &stateTransfer{At: n.clock.Now(), Clock: toMicros(time.Since(n.startedAt)), Discovery: n.watcher.Address(),
+		Generation: n.listGeneration, Recent: map[string]int64{}}
 	if inRows {
-		p.Module, p.Names = n.sender.SaveWithoutTables(), n.names()
+		p.Module, p.Names = n.sender.SaveWithoutTables(), n.nameCount()
 	} else {
 		p.Module, p.IDs, p.Targets = n.sender.Save(), map[string]logic.EndpointID{}, map[logic.EndpointID]transferTarget{}
-		for name, id := range n.dir.Names() {
+		for name, id := range n.directory.Names() {
 			p.IDs[name] = id
 		}
 		for _, id := range p.IDs {
-			if t, ok := n.dir.Target(id); ok {
+			if t, ok := n.directory.Target(id); ok {
 				p.Targets[id] = transferTarget{t.Addr, t.Zone, t.Kind, t.Dest, t.Lifecycle, t.Weight}
 			}
 		}
 	}
-	for id, t := range n.recent {
+	for id, t := range n.recentIDs {
 		p.Recent[id] = n.clock.Micros(t)
 	}
-	room := n.sockets/2 - reservedDescriptors
-	c := &handConns{}
+	room := n.maxDescriptors/2 - handoverReservedDescriptors
+	c := &transferConns{}
 	for id, h := range n.held {
-		p.Held = append(p.Held, transferHeld{id, h.tries, h.over, h.msg.Deadline})
-		if h.parked != nil {
+		p.Held = append(p.Held, transferHeld{id, h.attempts, h.ended, h.message.Deadline})
+		if h.parkedConn != nil {
 			in := h.call
-			got, _ := h.parked.r.Peek(h.parked.r.Buffered())
-			p.Calls = append(p.Calls, transferCall{id, in.attempt, in.ep, n.clock.Micros(in.at),
-				n.clock.Micros(in.at.Add(in.giveUp)), got})
-			c.calls, c.of = append(c.calls, h.parked), append(c.of, h)
+			got, _ := h.parkedConn.reader.Peek(h.parkedConn.reader.Buffered())
+			p.Calls = append(p.Calls, transferCall{id, in.attempt, in.endpoint, n.clock.Micros(in.startedAt),
+				n.clock.Micros(in.startedAt.Add(in.timeout)), got})
+			c.calls, c.callMessages = append(c.calls, h.parkedConn), append(c.callMessages, h)
 			room--
 		}
 	}
-	parked, states := n.clients.waiting()
+	parked, states := n.clients.parkedConns()
 	some := max(min(len(parked), room), 0)
 	c.clients, p.Clients = parked[:some], states[:some]
 	room -= some
-	for ep, list := range n.caller.takeIdle() {
+	for ep, list := range n.transport.takeAllIdle() {
 		for _, conn := range list {
 			if room--; room < 0 {
 				conn.Close()
 				continue
 			}
-			c.idle, c.idleOf = append(c.idle, conn), append(c.idleOf, ep)
-			p.Idle = append(p.Idle, transferIdle{ep, n.clock.Micros(conn.since)})
+			c.idle, c.idleEndpoints = append(c.idle, conn), append(c.idleEndpoints, ep)
+			p.Idle = append(p.Idle, transferIdle{ep, n.clock.Micros(conn.idleSince)})
 		}
 	}
 	return p, c, parked[some:]
 }
 
-// send writes the state and waits until the successor has taken it or is gone. errHanded says that this process must
+// sendState writes the state and waits until the successor has taken it or is gone. errHanded says that this process must
 // end without knowing.
-func (n *Node) send(next successor, p *stateTransfer, c *handConns, stopped <-chan struct{}) error {
+func (n *Node) sendState(next successor, p *stateTransfer, c *transferConns, stopped <-chan struct{}) error {
 	to := next.conn
 	text, err := json.Marshal(p)
 	if err != nil {
 		return err
 	}
-	if len(text) > mostText {
+	if len(text) > maxStateTextBytes {
 		return fmt.Errorf("a text of %d bytes", len(text))
 	}
-	fds := []int{int(n.lock.Fd())}
-	all := []syscall.Conn{n.ln.(*net.TCPListener)}
-	for _, list := range [][]*idleConn{c.calls, c.idle} {
+	fds := []int{int(n.lockFile.Fd())}
+	all := []syscall.Conn{n.listener.(*net.TCPListener)}
+	for _, list := range [][]*endpointConn{c.calls, c.idle} {
 		for _, x := range list {
 			all = append(all, x.Conn.(syscall.Conn))
 		}
@@ -329,15 +329,15 @@
 		return err
 	}
 	for len(fds) > 0 {
-		part := fds[:min(len(fds), handBatch)]
+		part := fds[:min(len(fds), maxDescriptorsPerMessage)]
 		if _, _, err := to.WriteMsgUnix([]byte{'f'}, syscall.UnixRights(part...), nil); err != nil {
 			return err
 		}
 		fds = fds[len(part):]
 	}
-	out := bufio.NewWriterSize(patient{to, &p.size}, 1<<16)
+	out := bufio.NewWriterSize(stallTimeoutWriter{to, &p.bytesSent}, 1<<16)
 	out.Write(text) // an error shows at the end
-	if next.inRows {
+	if next.takesRows {
 		n.writeRows(out)
 	}
 	if err := out.Flush(); err != nil {
@@ -345,7 +345,7 @@
 	}
 	heard := make(chan error, 1)
 	go func() { // ends with the connection, which the caller closes
-		line := make([]byte, len(handTaken))
+		line := make([]byte, len(handoverAck))
 		_, err := io.ReadFull(to, line)
 		heard <- err
 	}()
@@ -353,42 +353,42 @@
 	case err := <-heard:
 		return err
 	case <-stopped:
-		return errHanded
+		return errHandedOver
 	}
 }
 
-// patient writes as long as the other side takes something now and then.
-type patient struct {
+// stallTimeoutWriter writes as long as the other side takes something now and then.
+type stallTimeoutWriter struct {
 	*net.UnixConn
-	size *int // bytes written
+	written *int // bytes written
 }
 
-func (c patient) Write(b []byte) (n int, err error) {
+func (c stallTimeoutWriter) Write(b []byte) (n int, err error) {
 	for n < len(b) && err == nil {
-		c.SetWriteDeadline(time.Now().Add(handStall))
+		c.SetWriteDeadline(time.Now().Add(handoverStallTimeout))
 		var k int
 		k, err = c.UnixConn.Write(b[n:min(len(b), n+1<<16)])
 		n += k
-		*c.size += k
+		*c.written += k
 	}
 	return n, err
 }
 
 // unfreeze goes on with what was packed, since nobody has taken it.
-func (n *Node) unfreeze(work context.Context, c *handConns, left []net.Conn) {
-	for i, h := range c.of {
-		h.parked = nil
+func (n *Node) unfreeze(work context.Context, c *transferConns, left []net.Conn) {
+	for i, h := range c.callMessages {
+		h.parkedConn = nil
 		h.call.state.Store(callSent)
-		n.goOn(work, h, c.calls[i])
+		n.resumeCall(work, h, c.calls[i])
 	}
 	for i, conn := range c.idle {
-		if !n.caller.put(c.idleOf[i], conn) {
+		if !n.transport.putIdle(c.idleEndpoints[i], conn) {
 			conn.Close()
 		}
 	}
-	n.ln.(*net.TCPListener).SetDeadline(time.Time{})
-	n.clients.thaw(append(c.clients, left...))
-	go n.clients.serve(n.ln)
-	n.admit(nil)
+	n.listener.(*net.TCPListener).SetDeadline(time.Time{})
+	n.clients.unfreeze(append(c.clients, left...))
+	go n.clients.serve(n.listener)
+	n.setReadiness(nil)
 	n.step(work)
 }
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -19,8 +19,8 @@
 	"crossdeal/internal/discovery"
 )
 
-// patience bounds every wait for an event: it is not reached unless a test fails.
-const patience = 20 * time.Second
+// testTimeout bounds every wait for an event: it is not reached unless a test fails.
+const testTimeout = 20 * time.Second
 
 // await returns the next value of ch.
 func await[T any](t *testing.T, ch <-chan T, what string) T {
@@ -31,73 +31,73 @@
 			t.Fatalf("no more %s", what)
 		}
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("no %s", what)
 	}
 	panic("unreachable")
 }
 
-// inCall is a whole request that has come to an endpoint.
-type inCall struct {
-	req    *http.Request
-	body   string
-	at     time.Time
-	conn   *net.TCPConn
-	reader *bufio.Reader
-	done   chan bool // whether the endpoint goes on reading
+// receivedCall is a whole request that has come to an endpoint.
+type receivedCall struct {
+	request     *http.Request
+	body        string
+	receivedAt  time.Time
+	conn        *net.TCPConn
+	reader      *bufio.Reader
+	keepReading chan bool // whether the endpoint goes on reading
 }
 
-func (c *inCall) id() string { return c.req.Header.Get("X-Trace-Id") }
+func (c *receivedCall) id() string { return c.request.Header.Get("X-Trace-Id") }
 
 // reply answers and keeps the connection.
-func (c *inCall) reply(status int, headers ...string) {
+func (c *receivedCall) reply(status int, headers ...string) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n", status)
 	for _, h := range headers {
 		b.WriteString(h + "\r\n")
 	}
 	io.WriteString(c.conn, b.String()+"\r\n")
-	c.done <- true
+	c.keepReading <- true
 }
 
 // replyAndClose answers and closes the connection without saying so first.
-func (c *inCall) replyAndClose(status int) {
+func (c *receivedCall) replyAndClose(status int) {
 	fmt.Fprintf(c.conn, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", status)
 	c.conn.Close()
-	c.done <- false
+	c.keepReading <- false
 }
 
 // reset breaks the connection.
-func (c *inCall) reset() {
+func (c *receivedCall) reset() {
 	c.conn.SetLinger(0)
 	c.conn.Close()
-	c.done <- false
+	c.keepReading <- false
 }
 
-// awaitEnd waits until the sender has ended its side of the connection.
-func (c *inCall) awaitEnd(t *testing.T) {
+// awaitClose waits until the sender has ended its side of the connection.
+func (c *receivedCall) awaitClose(t *testing.T) {
 	t.Helper()
-	c.conn.SetReadDeadline(time.Now().Add(patience))
+	c.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if n, err := c.reader.Read(make([]byte, 1)); n != 0 || isTimeout(err) {
 		t.Fatalf("connection goes on: %d bytes, %v", n, err)
 	}
 }
 
-// endpoint is the other side of calls: a test answers each by hand.
-type endpoint struct {
-	ln    net.Listener
-	calls chan *inCall
-	conns chan net.Conn // each that is accepted
+// testEndpoint is the other side of calls: a test answers each by hand.
+type testEndpoint struct {
+	listener net.Listener
+	calls    chan *receivedCall
+	conns    chan net.Conn // each that is accepted
 }
 
-func newEndpoint(t *testing.T) *endpoint {
+func newTestEndpoint(t *testing.T) *testEndpoint {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	e := &endpoint{ln: ln, calls: make(chan *inCall, 64), conns: make(chan net.Conn, 64)}
+	e := &testEndpoint{listener: ln, calls: make(chan *receivedCall, 64), conns: make(chan net.Conn, 64)}
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -111,7 +111,7 @@
 	return e
 }
 
-func (e *endpoint) serve(conn *net.TCPConn) {
+func (e *testEndpoint) serve(conn *net.TCPConn) {
 	r := bufio.NewReader(conn)
 	for {
 		req, err := http.ReadRequest(r)
@@ -124,18 +124,18 @@
 			conn.Close()
 			return
 		}
-		c := &inCall{req: req, body: string(body), at: time.Now(), conn: conn, reader: r, done: make(chan bool, 1)}
+		c := &receivedCall{request: req, body: string(body), receivedAt: time.Now(), conn: conn, reader: r, keepReading: make(chan bool, 1)}
 		e.calls <- c
-		if !<-c.done {
+		if !<-c.keepReading {
 			return
 		}
 	}
 }
 
-func (e *endpoint) addr() string { return e.ln.Addr().String() }
+func (e *testEndpoint) addr() string { return e.listener.Addr().String() }
 
-// none checks that nothing has come that was not waited for.
-func (e *endpoint) none(t *testing.T) {
+// expectNoCall checks that nothing has come that was not waited for.
+func (e *testEndpoint) expectNoCall(t *testing.T) {
 	t.Helper()
 	select {
 	case c := <-e.calls:
@@ -144,56 +144,56 @@
 	}
 }
 
-// platform stands for discovery and for what hears of ends.
-type platform struct {
-	srv     *httptest.Server
-	notices chan Notice
-	asked   chan string // each call for the list
-	refused chan int    // each notice turned away: the number of lines
-	mu      sync.Mutex
-	list    discovery.List
-	news    chan struct{} // closed when the list changes
-	down    bool          // answers 503 to all
-	silent  bool          // never answers a call for the list
-	late    time.Duration // of its answer to the next call for the list
-	deaf    bool          // turns notices away
-	cut     bool          // its lists break off half way
+// testPlatform stands for discovery and for what hears of ends.
+type testPlatform struct {
+	server          *httptest.Server
+	notices         chan Notice
+	listRequests    chan string // each call for the list
+	rejectedNotices chan int    // each notice turned away: the number of lines
+	mu              sync.Mutex
+	list            discovery.List
+	listChanged     chan struct{} // closed when the list changes
+	down            bool          // answers 503 to all
+	unresponsive    bool          // never answers a call for the list
+	listDelay       time.Duration // of its answer to the next call for the list
+	rejectNotices   bool          // turns notices away
+	truncateLists   bool          // its lists break off half way
 }
 
-func newPlatform(t *testing.T) *platform {
+func newTestPlatform(t *testing.T) *testPlatform {
 	t.Helper()
-	p := &platform{notices: make(chan Notice, 64), asked: make(chan string, 1024), refused: make(chan int, 1024),
-		news: make(chan struct{})}
+	p := &testPlatform{notices: make(chan Notice, 64), listRequests: make(chan string, 1024), rejectedNotices: make(chan int, 1024),
+		listChanged: make(chan struct{})}
 	mux := http.NewServeMux()
-	mux.HandleFunc("/discovery/hosts", p.hosts)
-	mux.HandleFunc("/v1/outcomes", p.outcomes)
-	p.srv = httptest.NewServer(mux)
-	t.Cleanup(func() { p.srv.CloseClientConnections(); p.srv.Close() })
+	mux.HandleFunc("/discovery/hosts", p.serveList)
+	mux.HandleFunc("/v1/outcomes", p.serveOutcomes)
+	p.server = httptest.NewServer(mux)
+	t.Cleanup(func() { p.server.CloseClientConnections(); p.server.Close() })
 	return p
 }
 
-func (p *platform) set(f func()) {
+func (p *testPlatform) update(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
-	close(p.news)
-	p.news = make(chan struct{})
+	close(p.listChanged)
+	p.listChanged = make(chan struct{})
 }
 
-func (p *platform) hosts(w http.ResponseWriter, r *http.Request) {
-	p.asked <- r.URL.RawQuery
+func (p *testPlatform) serveList(w http.ResponseWriter, r *http.Request) {
+	p.listRequests <- r.URL.RawQuery
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	hold, _ := strconv.ParseInt(r.URL.Query().Get("hold_ms"), 10, 64)
 	p.mu.Lock()
-	late := p.late
-	p.late = 0
+	late := p.listDelay
+	p.listDelay = 0
 	p.mu.Unlock()
 	time.Sleep(late)
 	over := time.NewTimer(time.Duration(hold) * time.Millisecond)
 	defer over.Stop()
 	for {
 		p.mu.Lock()
-		list, news, down, silent, cut := p.list, p.news, p.down, p.silent, p.cut
+		list, news, down, silent, cut := p.list, p.listChanged, p.down, p.unresponsive, p.truncateLists
 		p.mu.Unlock()
 		if down {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -223,9 +223,9 @@
 	}
 }
 
-func (p *platform) outcomes(w http.ResponseWriter, r *http.Request) {
+func (p *testPlatform) serveOutcomes(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	deaf := p.deaf
+	deaf := p.rejectNotices
 	p.mu.Unlock()
 	var lines []Notice
 	for dec := json.NewDecoder(r.Body); dec.More(); {
@@ -237,7 +237,7 @@
 		lines = append(lines, x)
 	}
 	if deaf {
-		p.refused <- len(lines)
+		p.rejectedNotices <- len(lines)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -247,8 +247,8 @@
 	}
 }
 
-// instances lists endpoints of destination 1.
-func instances(eps ...*endpoint) []discovery.Instance {
+// instancesOf lists endpoints of destination 1.
+func instancesOf(eps ...*testEndpoint) []discovery.Instance {
 	var out []discovery.Instance
 	for i, e := range eps {
 		out = append(out, discovery.Instance{ID: fmt.Sprintf("s-%d", i), HostPort: e.addr(), Zone: "a", Kind: "std", Dest: 1,
@@ -257,8 +257,8 @@
 	return out
 }
 
-// settings are those of the tests: one class of each effect.
-const settings = `{"balancers":1,"me":0,"zone":0,"zones":["a","b"],"tick_s":0.005,"membership_mode":"on_request",
+// testSettings are those of the tests: one class of each effect.
+const testSettings = `{"balancers":1,"me":0,"zone":0,"zones":["a","b"],"tick_s":0.005,"membership_mode":"on_request",
 "weights":"nominal","over_share_worth":0.2,"machine_types":["std"],
 "classes":[
 {"name":"safe","aim_s":2,"deadline_s":16,"worth":1,"late_worth":0.4,"idempotency":"retryable","group":"all","window_s":5},
@@ -272,11 +272,11 @@
 "specifics":{"batch_by_kind":[1],"call_slots":6,"late":"halves","separate_routes":[false]}}`
 
 // configText is a configuration file.
-func configText(p *platform, known discovery.List) []byte {
+func configText(p *testPlatform, known discovery.List) []byte {
 	b, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0",
-		"discovery": strings.TrimPrefix(p.srv.URL, "http://"), "seed": "1f",
+		"discovery": strings.TrimPrefix(p.server.URL, "http://"), "seed": "1f",
 		"limits": Limits{Cores: 1, MemoryMB: 192, Sockets: 256, DiskMB: 3}, "known": known,
-		"settings": json.RawMessage(settings)})
+		"settings": json.RawMessage(testSettings)})
 	if err != nil {
 		panic(err)
 	}
@@ -291,16 +291,16 @@
 	done chan error
 }
 
-func startNode(t *testing.T, p *platform, dir string, known discovery.List, with ...func(*Node)) *testNode {
+func startNode(t *testing.T, p *testPlatform, dir string, known discovery.List, with ...func(*Node)) *testNode {
 	t.Helper()
 	cfg, err := ParseConfig(configText(p, known))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return startConfig(t, cfg, dir, with...)
+	return startNodeWithConfig(t, cfg, dir, with...)
 }
 
-func startConfig(t *testing.T, cfg *Config, dir string, with ...func(*Node)) *testNode {
+func startNodeWithConfig(t *testing.T, cfg *Config, dir string, with ...func(*Node)) *testNode {
 	t.Helper()
 	cfg.StateDir = dir
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
@@ -318,26 +318,26 @@
 	return x
 }
 
-// client is a client's connection.
-type client struct {
-	t    *testing.T
-	conn net.Conn
-	r    *bufio.Reader
+// testClient is a client's connection.
+type testClient struct {
+	t      *testing.T
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
-func dial(t *testing.T, addr string) *client {
+func dialClient(t *testing.T, addr string) *testClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(2 * patience))
-	return &client{t, conn, bufio.NewReader(conn)}
+	conn.SetDeadline(time.Now().Add(2 * testTimeout))
+	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
-// respText is a request in RESP2.
-func respText(args ...string) string {
+// encodeRequest is a request in RESP2.
+func encodeRequest(args ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(args))
 	for _, a := range args {
@@ -346,36 +346,36 @@
 	return b.String()
 }
 
-func (c *client) send(args ...string) {
+func (c *testClient) send(args ...string) {
 	c.t.Helper()
-	if _, err := io.WriteString(c.conn, respText(args...)); err != nil {
+	if _, err := io.WriteString(c.conn, encodeRequest(args...)); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// line reads an answer; empty once the sender has closed the connection.
-func (c *client) line() string {
+// readLine reads an answer; empty once the sender has closed the connection.
+func (c *testClient) readLine() string {
 	c.t.Helper()
-	s, err := c.r.ReadString('\n')
+	s, err := c.reader.ReadString('\n')
 	if isTimeout(err) {
 		c.t.Fatal("no answer")
 	}
 	return strings.TrimRight(s, "\r\n")
 }
 
-func (c *client) do(args ...string) string {
+func (c *testClient) do(args ...string) string {
 	c.t.Helper()
 	c.send(args...)
-	return c.line()
+	return c.readLine()
 }
 
 // put hands a message in and checks the answer.
-func (c *client) put(id, class, want string) {
+func (c *testClient) put(id, class, want string) {
 	c.t.Helper()
-	c.putFor(id, class, 10000, want)
+	c.putWithTime(id, class, 10000, want)
 }
 
-func (c *client) putFor(id, class string, ms int, want string) {
+func (c *testClient) putWithTime(id, class string, ms int, want string) {
 	c.t.Helper()
 	opts := fmt.Sprintf("c=%s,t=acme,d=%d,k=key-%s,dest=1", class, ms, id)
 	if got := c.do("MSG.PUT", "0000", id, opts, "body of "+id); got != want {
@@ -383,16 +383,16 @@
 	}
 }
 
-// world is a sender with endpoints and a platform.
-func world(t *testing.T, endpoints int, with ...func(*Node)) (*testNode, *client, *platform, []*endpoint) {
+// startNodeWithEndpoints is a sender with endpoints and a platform.
+func startNodeWithEndpoints(t *testing.T, endpoints int, with ...func(*Node)) (*testNode, *testClient, *testPlatform, []*testEndpoint) {
 	t.Helper()
-	p := newPlatform(t)
-	var eps []*endpoint
+	p := newTestPlatform(t)
+	var eps []*testEndpoint
 	for range endpoints {
-		eps = append(eps, newEndpoint(t))
+		eps = append(eps, newTestEndpoint(t))
 	}
-	known := discovery.List{Generation: 1, Reset: true, Instances: instances(eps...)}
+	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(eps...)}
 	p.list = known
 	n := startNode(t, p, t.TempDir(), known, with...)
-	return n, dial(t, n.addr), p, eps
+	return n, dialClient(t, n.addr), p, eps
 }
