--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -15,14 +15,14 @@
 
 // Message is a message as a client handed it in.
 type Message struct {
-	ID       string `json:"id"`
-	Key      string `json:"key,omitempty"`   // idempotency key
-	Order    string `json:"order,omitempty"` // order key
-	Class    string `json:"class"`
-	Tenant   string `json:"tenant,omitempty"`
-	Dest     int64  `json:"dest"`
-	Deadline int64  `json:"deadline"` // Unix time in microseconds
-	Body     []byte `json:"body,omitempty"`
+	ID             string `json:"id"`
+	IdempotencyKey string `json:"key,omitempty"`   // idempotency key
+	OrderKey       string `json:"order,omitempty"` // order key
+	Class          string `json:"class"`
+	Tenant         string `json:"tenant,omitempty"`
+	Destination    int64  `json:"dest"`
+	Deadline       int64  `json:"deadline"` // Unix time in microseconds
+	Body           []byte `json:"body,omitempty"`
 }
 
 // Notice is the end of a message as the platform is told of it.
@@ -36,84 +36,84 @@
 // platform has yet to confirm.
 type Entry struct {
 	Message
-	Tries     int     `json:"tries,omitempty"`
-	Begun     bool    `json:"begun,omitempty"`     // the last attempt has no outcome, and still connects
-	Open      bool    `json:"open,omitempty"`      // the last attempt has no outcome, and may have been written
-	MayRun    bool    `json:"may_run,omitempty"`   // an earlier one may have run
-	FirstMay  int64   `json:"first_may,omitempty"` // when the first that may have run was sent, Unix microseconds
-	FirstZone int     `json:"zone,omitempty"`      // zone of its endpoint
-	End       *Notice `json:"end,omitempty"`
-	seq       int
-	size      int
+	Attempts          int     `json:"tries,omitempty"`
+	Connecting        bool    `json:"begun,omitempty"`     // the last attempt has no outcome, and still connects
+	MaybeWritten      bool    `json:"open,omitempty"`      // the last attempt has no outcome, and may have been written
+	MayHaveRun        bool    `json:"may_run,omitempty"`   // an earlier one may have run
+	FirstMayHaveRunAt int64   `json:"first_may,omitempty"` // when the first that may have run was sent, Unix microseconds
+	FirstZone         int     `json:"zone,omitempty"`      // zone of its endpoint
+	EndNotice         *Notice `json:"end,omitempty"`
+	sequence          int
+	sizeBytes         int
 }
 
 // op is the kind of a record.
 type op byte
 
 const (
-	opAccept  op = iota + 1 // a message is taken on
-	opSend                  // an attempt is about to be written
-	opOutcome               // it has its outcome
-	opDone                  // delivered, or over without our word
-	opEnd                   // ended by us; the notice is owed
-	opNoticed               // the notice is confirmed
-	opTakeOut               // an operator has taken an endpoint out; the id is the endpoint's
-	opPutBack               // and put it back
-	opBegin                 // an attempt is about to connect; opSend follows once it may be written
+	opAccept          op = iota + 1 // a message is taken on
+	opSend                          // an attempt is about to be written
+	opOutcome                       // it has its outcome
+	opDone                          // delivered, or over without our word
+	opEndWithNotice                 // ended by us; the notice is owed
+	opNoticeConfirmed               // the notice is confirmed
+	opDisableEndpoint               // an operator has taken an endpoint out; the id is the endpoint's
+	opEnableEndpoint                // and put it back
+	opConnect                       // an attempt is about to connect; opSend follows once it may be written
 )
 
 // record is one line of the journal.
 type record struct {
-	Op     op      `json:"op"`
-	ID     string  `json:"id,omitempty"`
-	Entry  *Entry  `json:"entry,omitempty"`
-	At     int64   `json:"at,omitempty"`
-	Zone   int     `json:"zone,omitempty"`
-	MayRun bool    `json:"may_run,omitempty"`
-	Notice *Notice `json:"notice,omitempty"`
+	Op         op      `json:"op"`
+	ID         string  `json:"id,omitempty"`
+	Entry      *Entry  `json:"entry,omitempty"`
+	SentAt     int64   `json:"at,omitempty"`
+	Zone       int     `json:"zone,omitempty"`
+	MayHaveRun bool    `json:"may_run,omitempty"`
+	Notice     *Notice `json:"notice,omitempty"`
 }
 
 const (
-	journalName = "journal"
-	maxRecord   = 1 << 20
-	// acceptPart is the part of a file that entries may fill before new messages are turned away: the rest is
+	journalFileName = "journal"
+	maxRecordBytes  = 1 << 20
+	// acceptShare is the part of a file that entries may fill before new messages are turned away: the rest is
 	// room for what becomes of those already taken on.
-	acceptPart = 0.6
-	// mostFile bounds a file where the platform sets no tighter limit; files count as memory.
-	mostFile = 16 << 20
+	acceptShare = 0.6
+	// maxJournalFileBytes bounds a file where the platform sets no tighter limit; files count as memory.
+	maxJournalFileBytes = 16 << 20
 )
 
-// errFull says that the journal has no room for another message.
-var errFull = errors.New("journal full")
+// errJournalFull says that the journal has no room for another message.
+var errJournalFull = errors.New("journal full")
 
 // Journal keeps accepted messages in a file that outlives the process. Its
 // records are appended; a file that grows too long is rewritten with what is
 // still owed. It is not safe for concurrent use.
 type Journal struct {
-	dir     string
-	file    *os.File
-	size    int64
-	limit   int64 // of one file; for the time of a rewrite there are two
-	cut     int64 // bytes that were not whole records when it was opened
-	live    int64 // rough size of what a rewrite keeps
-	seq     int
-	entries map[string]*Entry
-	out     map[string]bool // endpoints that an operator has taken out
-	dirty   bool            // the file lacks something that entries has: rewrite before the next append
+	dir            string
+	file           *os.File
+	size           int64
+	limit          int64 // of one file; for the time of a rewrite there are two
+	truncatedBytes int64 // bytes that were not whole records when it was opened
+	liveBytes      int64 // rough size of what a rewrite keeps
+	lastSequence   int
+	entries        map[string]*Entry
+	disabled       map[string]bool // endpoints that an operator has taken out
+	needsRewrite   bool            // the file lacks something that entries has: rewrite before the next append
 }
 
-// journalLimit bounds the journal's file where the platform gives so many bytes of disk.
-func journalLimit(diskBytes int64) int64 {
+// journalFileLimit bounds the journal's file where the platform gives so many bytes of disk.
+func journalFileLimit(diskBytes int64) int64 {
 	if diskBytes <= 0 {
-		return mostFile
+		return maxJournalFileBytes
 	}
-	return min(diskBytes*45/100, mostFile)
+	return min(diskBytes*45/100, maxJournalFileBytes)
 }
 
 // OpenJournal replays the journal in dir, cuts a torn end off and makes it ready
 // for appending. Together its files stay under diskBytes.
 func OpenJournal(dir string, diskBytes int64) (*Journal, error) {
-	j := &Journal{dir: dir, entries: map[string]*Entry{}, out: map[string]bool{}, limit: journalLimit(diskBytes)}
+	j := &Journal{dir: dir, entries: map[string]*Entry{}, disabled: map[string]bool{}, limit: journalFileLimit(diskBytes)}
 	if err := os.Remove(j.path(".new")); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
@@ -129,11 +129,11 @@
 	return j, nil
 }
 
-func (j *Journal) path(suffix string) string { return filepath.Join(j.dir, journalName+suffix) }
+func (j *Journal) path(suffix string) string { return filepath.Join(j.dir, journalFileName+suffix) }
 
 // replay reads records up to the first that is not whole and cuts off the rest.
 func (j *Journal) replay(f *os.File) error {
-	r := wal.NewReader(f, maxRecord)
+	r := wal.NewReader(f, maxRecordBytes)
 	for {
 		body, err := r.Next()
 		if err != nil {
@@ -153,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	j.cut = info.Size() - j.size
+	j.truncatedBytes = info.Size() - j.size
 	if err := f.Truncate(j.size); err != nil {
 		return err
 	}
@@ -164,11 +164,11 @@
 // apply brings the entries up to date with a record.
 func (j *Journal) apply(rec record) {
 	switch rec.Op {
-	case opTakeOut:
-		j.out[rec.ID] = true
+	case opDisableEndpoint:
+		j.disabled[rec.ID] = true
 		return
-	case opPutBack:
-		delete(j.out, rec.ID)
+	case opEnableEndpoint:
+		delete(j.disabled, rec.ID)
 		return
 	}
 	if rec.Op == opAccept {
@@ -176,9 +176,9 @@
 			return
 		}
 		e := rec.Entry
-		j.seq++
-		e.seq, e.size = j.seq, len(e.Body)*4/3+512
-		j.live += int64(e.size)
+		j.lastSequence++
+		e.sequence, e.sizeBytes = j.lastSequence, len(e.Body)*4/3+512
+		j.liveBytes += int64(e.sizeBytes)
 		j.entries[e.ID] = e
 		return
 	}
@@ -187,34 +187,34 @@
 		return
 	}
 	switch rec.Op {
-	case opBegin:
-		e.Tries++
-		e.Begun = true
+	case opConnect:
+		e.Attempts++
+		e.Connecting = true
 	case opSend:
-		if !e.Begun {
-			e.Tries++
+		if !e.Connecting {
+			e.Attempts++
 		}
-		e.Begun, e.Open = false, true
-		if !e.MayRun {
-			e.FirstMay, e.FirstZone = rec.At, rec.Zone
+		e.Connecting, e.MaybeWritten = false, true
+		if !e.MayHaveRun {
+			e.FirstMayHaveRunAt, e.FirstZone = rec.SentAt, rec.Zone
 		}
 	case opOutcome:
-		e.Begun, e.Open = false, false
-		e.MayRun = e.MayRun || rec.MayRun
-	case opEnd:
-		e.End = rec.Notice
+		e.Connecting, e.MaybeWritten = false, false
+		e.MayHaveRun = e.MayHaveRun || rec.MayHaveRun
+	case opEndWithNotice:
+		e.EndNotice = rec.Notice
 		e.Body = nil
-		j.live -= int64(e.size - 512)
-		e.size = 512
-	case opDone, opNoticed:
-		j.live -= int64(e.size)
+		j.liveBytes -= int64(e.sizeBytes - 512)
+		e.sizeBytes = 512
+	case opDone, opNoticeConfirmed:
+		j.liveBytes -= int64(e.sizeBytes)
 		delete(j.entries, rec.ID)
 	}
 }
 
-// Room says whether the journal can take on a message with such a body.
-func (j *Journal) Room(body int) bool {
-	return float64(j.live)+float64(body)*4/3+512 <= acceptPart*float64(j.limit)
+// HasRoom says whether the journal can take on a message with such a body.
+func (j *Journal) HasRoom(body int) bool {
+	return float64(j.liveBytes)+float64(body)*4/3+512 <= acceptShare*float64(j.limit)
 }
 
 // Append writes records in one go, so that a process that dies leaves all of the
@@ -228,7 +228,7 @@
 	err := j.write(recs)
 	for _, rec := range recs {
 		switch rec.Op {
-		case opAccept, opBegin, opSend, opTakeOut, opPutBack:
+		case opAccept, opConnect, opSend, opDisableEndpoint, opEnableEndpoint:
 			if err != nil {
 				continue
 			}
@@ -236,7 +236,7 @@
 		j.apply(rec)
 	}
 	if err != nil {
-		j.dirty = true
+		j.needsRewrite = true
 		return fmt.Errorf("journal: %w", err)
 	}
 	return nil
@@ -246,17 +246,17 @@
 	var b []byte
 	for _, rec := range recs {
 		var err error
-		if b, err = frame(b, rec); err != nil {
+		if b, err = appendRecord(b, rec); err != nil {
 			return err
 		}
 	}
-	if j.dirty || j.size+int64(len(b)) > j.limit {
+	if j.needsRewrite || j.size+int64(len(b)) > j.limit {
 		if err := j.Compact(); err != nil {
 			return err
 		}
 	}
 	if j.size+int64(len(b)) > j.limit {
-		return errFull
+		return errJournalFull
 	}
 	if n, err := j.file.WriteAt(b, j.size); err != nil {
 		if n > 0 {
@@ -269,12 +269,12 @@
 	return nil
 }
 
-func frame(b []byte, rec record) ([]byte, error) {
+func appendRecord(b []byte, rec record) ([]byte, error) {
 	body, err := json.Marshal(rec)
 	if err != nil {
 		return b, err
 	}
-	if len(body) > maxRecord {
+	if len(body) > maxRecordBytes {
 		return b, fmt.Errorf("record of %d bytes", len(body))
 	}
 	return wal.Append(b, body), nil
@@ -284,20 +284,20 @@
 // the new one is whole.
 func (j *Journal) Compact() error {
 	var b []byte
-	for _, id := range j.TakenOut() {
+	for _, id := range j.DisabledEndpoints() {
 		var err error
-		if b, err = frame(b, record{Op: opTakeOut, ID: id}); err != nil {
+		if b, err = appendRecord(b, record{Op: opDisableEndpoint, ID: id}); err != nil {
 			return err
 		}
 	}
 	for _, e := range j.Entries() {
 		var err error
-		if b, err = frame(b, record{Op: opAccept, Entry: e}); err != nil {
+		if b, err = appendRecord(b, record{Op: opAccept, Entry: e}); err != nil {
 			return err
 		}
 	}
 	if int64(len(b)) > j.limit {
-		return errFull
+		return errJournalFull
 	}
 	f, err := os.OpenFile(j.path(".new"), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -312,7 +312,7 @@
 		return errors.Join(err, os.Remove(j.path(".new")))
 	}
 	j.file.Close()
-	j.file, j.size, j.dirty = f, int64(len(b)), false
+	j.file, j.size, j.needsRewrite = f, int64(len(b)), false
 	return nil
 }
 
@@ -322,12 +322,12 @@
 	for _, e := range j.entries {
 		list = append(list, e)
 	}
-	slices.SortFunc(list, func(a, b *Entry) int { return a.seq - b.seq })
+	slices.SortFunc(list, func(a, b *Entry) int { return a.sequence - b.sequence })
 	return list
 }
 
-// TakenOut lists the endpoints that operators have taken out.
-func (j *Journal) TakenOut() []string { return slices.Sorted(maps.Keys(j.out)) }
+// DisabledEndpoints lists the endpoints that operators have taken out.
+func (j *Journal) DisabledEndpoints() []string { return slices.Sorted(maps.Keys(j.disabled)) }
 
 // Entry returns what is known of a message; nil if nothing is owed for it.
 func (j *Journal) Entry(id string) *Entry { return j.entries[id] }
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -21,8 +21,8 @@
 	return j
 }
 
-func accept(id string, body int) record {
-	return record{Op: opAccept, Entry: &Entry{Message: Message{ID: id, Class: "safe", Dest: 1, Deadline: 1,
+func acceptRecord(id string, body int) record {
+	return record{Op: opAccept, Entry: &Entry{Message: Message{ID: id, Class: "safe", Destination: 1, Deadline: 1,
 		Body: bytes.Repeat([]byte("b"), body)}}}
 }
 
@@ -37,14 +37,14 @@
 func TestJournalReplay(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
-	mustAppend(t, j, accept("sent", 3), accept("done", 3), accept("never", 3), accept("may", 3), accept("ended", 3), accept("heard", 3))
+	mustAppend(t, j, acceptRecord("sent", 3), acceptRecord("done", 3), acceptRecord("never", 3), acceptRecord("may", 3), acceptRecord("ended", 3), acceptRecord("heard", 3))
 	for _, id := range []string{"sent", "done", "never", "may"} {
-		mustAppend(t, j, record{Op: opSend, ID: id, At: 100, Zone: 1})
+		mustAppend(t, j, record{Op: opSend, ID: id, SentAt: 100, Zone: 1})
 	}
 	mustAppend(t, j, record{Op: opDone, ID: "done"}, record{Op: opOutcome, ID: "never"},
-		record{Op: opOutcome, ID: "may", MayRun: true}, record{Op: opSend, ID: "may", At: 200, Zone: 0},
-		record{Op: opEnd, ID: "ended", Notice: &Notice{ID: "ended", State: "failed"}},
-		record{Op: opEnd, ID: "heard", Notice: &Notice{ID: "heard", State: "failed"}}, record{Op: opNoticed, ID: "heard"})
+		record{Op: opOutcome, ID: "may", MayHaveRun: true}, record{Op: opSend, ID: "may", SentAt: 200, Zone: 0},
+		record{Op: opEndWithNotice, ID: "ended", Notice: &Notice{ID: "ended", State: "failed"}},
+		record{Op: opEndWithNotice, ID: "heard", Notice: &Notice{ID: "heard", State: "failed"}}, record{Op: opNoticeConfirmed, ID: "heard"})
 	check := func(how string) {
 		t.Helper()
 		j := openJournal(t, dir, 3e6)
@@ -55,17 +55,17 @@
 		if got := fmt.Sprint(ids); got != "[sent never may ended]" {
 			t.Fatalf("%s: owed %v", how, got)
 		}
-		if e := j.Entry("sent"); e.Tries != 1 || !e.Open || e.MayRun || e.FirstMay != 100 || e.FirstZone != 1 || string(e.Body) != "bbb" {
+		if e := j.Entry("sent"); e.Attempts != 1 || !e.MaybeWritten || e.MayHaveRun || e.FirstMayHaveRunAt != 100 || e.FirstZone != 1 || string(e.Body) != "bbb" {
 			t.Errorf("%s: sent: %+v", how, e)
 		}
-		if e := j.Entry("never"); e.Tries != 1 || e.Open || e.MayRun {
+		if e := j.Entry("never"); e.Attempts != 1 || e.MaybeWritten || e.MayHaveRun {
 			t.Errorf("%s: never: %+v", how, e)
 		}
 		// The window of a keyed message counts from the first send that may have run, not from the last.
-		if e := j.Entry("may"); e.Tries != 2 || !e.Open || !e.MayRun || e.FirstMay != 100 || e.FirstZone != 1 {
+		if e := j.Entry("may"); e.Attempts != 2 || !e.MaybeWritten || !e.MayHaveRun || e.FirstMayHaveRunAt != 100 || e.FirstZone != 1 {
 			t.Errorf("%s: may: %+v", how, e)
 		}
-		if e := j.Entry("ended"); e.End == nil || e.End.State != "failed" {
+		if e := j.Entry("ended"); e.EndNotice == nil || e.EndNotice.State != "failed" {
 			t.Errorf("%s: ended: %+v", how, e)
 		}
 	}
@@ -78,13 +78,13 @@
 
 // A process can die within a write: whatever its last bytes are, all that was whole before them stands, and what
 // is appended afterwards can be read.
-func TestJournalTornTail(t *testing.T) {
+func TestJournalDropsTornTail(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
-	mustAppend(t, j, accept("a", 10))
+	mustAppend(t, j, acceptRecord("a", 10))
 	first := j.size
-	mustAppend(t, j, accept("b", 10))
-	whole, err := os.ReadFile(filepath.Join(dir, journalName))
+	mustAppend(t, j, acceptRecord("b", 10))
+	whole, err := os.ReadFile(filepath.Join(dir, journalFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,17 +98,17 @@
 	tails = append(tails, flipped, huge, append(bytes.Clone(whole[:first]), make([]byte, 64)...))
 	for i, text := range tails {
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, journalName), text, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, journalFileName), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		j := openJournal(t, dir, 3e6)
 		if j.Entry("a") == nil || j.Entry("b") != nil {
 			t.Fatalf("tail %d: a %v, b %v", i, j.Entry("a"), j.Entry("b"))
 		}
-		if j.cut != int64(len(text))-first {
-			t.Errorf("tail %d of %d bytes: says that %d were cut", i, int64(len(text))-first, j.cut)
+		if j.truncatedBytes != int64(len(text))-first {
+			t.Errorf("tail %d of %d bytes: says that %d were cut", i, int64(len(text))-first, j.truncatedBytes)
 		}
-		mustAppend(t, j, accept("c", 10))
+		mustAppend(t, j, acceptRecord("c", 10))
 		if j := openJournal(t, dir, 3e6); j.Entry("a") == nil || j.Entry("c") == nil {
 			t.Fatalf("tail %d: what came after it is lost", i)
 		}
@@ -120,13 +120,13 @@
 func TestJournalCutsBehindBrokenRecord(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
-	mustAppend(t, j, accept("a", 10))
+	mustAppend(t, j, acceptRecord("a", 10))
 	at := j.size + wal.HeaderLen
-	mustAppend(t, j, accept("b", 10), accept("c", 10))
+	mustAppend(t, j, acceptRecord("b", 10), acceptRecord("c", 10))
 	if _, err := j.file.WriteAt([]byte{0}, at); err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, openJournal(t, dir, 3e6), accept("d", 10))
+	mustAppend(t, openJournal(t, dir, 3e6), acceptRecord("d", 10))
 	if j := openJournal(t, dir, 3e6); len(j.entries) != 2 || j.Entry("a") == nil || j.Entry("d") == nil {
 		t.Errorf("entries %v", j.entries)
 	}
@@ -150,57 +150,57 @@
 
 // A folder that grows over its limit counts as a crash. What is over must make room, and while nothing is over new
 // messages are turned away, with room left for what becomes of the old ones.
-func TestJournalStaysSmall(t *testing.T) {
+func TestJournalStaysWithinDiskLimit(t *testing.T) {
 	dir := t.TempDir()
 	const disk = 100_000
 	j := openJournal(t, dir, disk)
 	for i := range 2000 {
 		id := fmt.Sprint("m", i)
-		mustAppend(t, j, accept(id, 1000), record{Op: opSend, ID: id, At: 1}, record{Op: opDone, ID: id})
+		mustAppend(t, j, acceptRecord(id, 1000), record{Op: opSend, ID: id, SentAt: 1}, record{Op: opDone, ID: id})
 		if use := diskUse(t, dir); use > disk/2 {
 			t.Fatalf("%d bytes with nothing owed", use)
 		}
 	}
 	n := 0
-	for ; j.Room(1000); n++ {
-		mustAppend(t, j, accept(fmt.Sprint("f", n), 1000))
+	for ; j.HasRoom(1000); n++ {
+		mustAppend(t, j, acceptRecord(fmt.Sprint("f", n), 1000))
 	}
 	if n < 5 {
 		t.Fatalf("room for %d messages only", n)
 	}
 	for i := range 2000 {
-		mustAppend(t, j, record{Op: opSend, ID: "f0", At: int64(i)}, record{Op: opOutcome, ID: "f0"})
+		mustAppend(t, j, record{Op: opSend, ID: "f0", SentAt: int64(i)}, record{Op: opOutcome, ID: "f0"})
 		if use := diskUse(t, dir); use > disk/2 {
 			t.Fatalf("%d bytes with %d owed", use, n)
 		}
 	}
-	if e := openJournal(t, dir, disk).Entry("f0"); e == nil || e.Tries != 2000 {
+	if e := openJournal(t, dir, disk).Entry("f0"); e == nil || e.Attempts != 2000 {
 		t.Errorf("after many rewrites: %+v", e)
 	}
-	if err := j.Append([]record{accept("big", 40_000)}); !errors.Is(err, errFull) {
+	if err := j.Append([]record{acceptRecord("big", 40_000)}); !errors.Is(err, errJournalFull) {
 		t.Errorf("got %v, want errFull", err)
 	}
 }
 
 // A write that fails must leave no half record, take nothing on, and forget nothing that has happened.
-func TestJournalWriteError(t *testing.T) {
+func TestFailedJournalWriteChangesNothing(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
-	mustAppend(t, j, accept("a", 10), accept("b", 10))
+	mustAppend(t, j, acceptRecord("a", 10), acceptRecord("b", 10))
 	good := j.file
 	bad, err := os.Open(good.Name()) // can't be written
 	if err != nil {
 		t.Fatal(err)
 	}
 	j.file = bad
-	err = j.Append([]record{{Op: opDone, ID: "a"}, accept("c", 10), {Op: opSend, ID: "b", At: 1}})
+	err = j.Append([]record{{Op: opDone, ID: "a"}, acceptRecord("c", 10), {Op: opSend, ID: "b", SentAt: 1}})
 	if err == nil {
 		t.Fatal("no error")
 	}
-	if j.Entry("c") != nil || j.Entry("b").Tries != 0 || j.Entry("a") != nil {
+	if j.Entry("c") != nil || j.Entry("b").Attempts != 0 || j.Entry("a") != nil {
 		t.Errorf("after the error: a %v, b %+v, c %v", j.Entry("a"), j.Entry("b"), j.Entry("c"))
 	}
-	mustAppend(t, j, accept("d", 10)) // into a new file
+	mustAppend(t, j, acceptRecord("d", 10)) // into a new file
 	good.Close()
 	k := openJournal(t, dir, 3e6)
 	if k.Entry("a") != nil || k.Entry("b") == nil || k.Entry("c") != nil || k.Entry("d") == nil {
@@ -209,12 +209,12 @@
 }
 
 // What operators have taken out stands after a rewrite and at the next start; what they put back does not.
-func TestJournalKeepsTakenOut(t *testing.T) {
+func TestJournalKeepsDisabledEndpoints(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
-	mustAppend(t, j, record{Op: opTakeOut, ID: "s-1"}, record{Op: opTakeOut, ID: "s-2"}, record{Op: opPutBack, ID: "s-1"})
+	mustAppend(t, j, record{Op: opDisableEndpoint, ID: "s-1"}, record{Op: opDisableEndpoint, ID: "s-2"}, record{Op: opEnableEndpoint, ID: "s-1"})
 	for _, how := range []string{"appended", "rewritten"} {
-		if got := fmt.Sprint(openJournal(t, dir, 3e6).TakenOut()); got != "[s-2]" {
+		if got := fmt.Sprint(openJournal(t, dir, 3e6).DisabledEndpoints()); got != "[s-2]" {
 			t.Errorf("%s: taken out %v", how, got)
 		}
 		if err := j.Compact(); err != nil {
@@ -225,7 +225,7 @@
 
 // A folder outlives the program: a journal of earlier versions is read, and what is appended and rewritten has the
 // form they read, to the byte.
-func TestJournalForm(t *testing.T) {
+func TestJournalFileFormat(t *testing.T) {
 	const appended = "N\x00\x00\x00|\xd1pr{\"op\":1,\"entry\":{\"id\":\"a\",\"class\":\"safe\",\"dest\":1,\"deadline\":1,\"body\":\"YmJi\"}}" +
 		"'\x00\x00\x00\xd6\xccS\x14{\"op\":2,\"id\":\"a\",\"at\":1234567,\"zone\":1}" +
 		"\x13\x00\x00\x00\xde@\x1dK{\"op\":7,\"id\":\"s-1\"}" +
@@ -240,25 +240,25 @@
 	dir := t.TempDir()
 	is := func(want string) {
 		t.Helper()
-		if got, err := os.ReadFile(filepath.Join(dir, journalName)); err != nil || string(got) != want {
+		if got, err := os.ReadFile(filepath.Join(dir, journalFileName)); err != nil || string(got) != want {
 			t.Fatalf("%v, file:\n%q\nwant:\n%q", err, got, want)
 		}
 	}
 	j := openJournal(t, dir, 3e6)
-	mustAppend(t, j, accept("a", 3), record{Op: opSend, ID: "a", At: 1234567, Zone: 1}, record{Op: opTakeOut, ID: "s-1"}, accept("b", 2))
-	mustAppend(t, j, record{Op: opOutcome, ID: "a", MayRun: true},
-		record{Op: opEnd, ID: "b", Notice: &Notice{ID: "b", State: "failed", AfterMS: 5}})
+	mustAppend(t, j, acceptRecord("a", 3), record{Op: opSend, ID: "a", SentAt: 1234567, Zone: 1}, record{Op: opDisableEndpoint, ID: "s-1"}, acceptRecord("b", 2))
+	mustAppend(t, j, record{Op: opOutcome, ID: "a", MayHaveRun: true},
+		record{Op: opEndWithNotice, ID: "b", Notice: &Notice{ID: "b", State: "failed", AfterMS: 5}})
 	is(appended)
 
 	dir = t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, journalName), []byte(appended+"\x13\x00"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, journalFileName), []byte(appended+"\x13\x00"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	j = openJournal(t, dir, 3e6)
 	is(appended)
-	if a, b := j.Entry("a"), j.Entry("b"); a == nil || b == nil || !a.MayRun || a.FirstMay != 1234567 || a.FirstZone != 1 ||
-		string(a.Body) != "bbb" || b.End == nil || b.End.AfterMS != 5 || fmt.Sprint(j.TakenOut()) != "[s-1]" || j.cut != 2 {
-		t.Errorf("a %+v, b %+v, taken out %v, %d bytes cut", a, b, j.TakenOut(), j.cut)
+	if a, b := j.Entry("a"), j.Entry("b"); a == nil || b == nil || !a.MayHaveRun || a.FirstMayHaveRunAt != 1234567 || a.FirstZone != 1 ||
+		string(a.Body) != "bbb" || b.EndNotice == nil || b.EndNotice.AfterMS != 5 || fmt.Sprint(j.DisabledEndpoints()) != "[s-1]" || j.truncatedBytes != 2 {
+		t.Errorf("a %+v, b %+v, taken out %v, %d bytes cut", a, b, j.DisabledEndpoints(), j.truncatedBytes)
 	}
 	if err := j.Compact(); err != nil {
 		t.Fatal(err)
@@ -267,10 +267,10 @@
 }
 
 // A file that can't be read is not one that ends early: nothing is cut off.
-func TestJournalKeepsWhatCannotBeRead(t *testing.T) {
+func TestUnreadableJournalIsNotTruncated(t *testing.T) {
 	dir := t.TempDir()
-	mustAppend(t, openJournal(t, dir, 3e6), accept("a", 10))
-	path := filepath.Join(dir, journalName)
+	mustAppend(t, openJournal(t, dir, 3e6), acceptRecord("a", 10))
+	path := filepath.Join(dir, journalFileName)
 	before, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -11,71 +11,71 @@
 )
 
 const (
-	acceptOn  = 500 * time.Millisecond  // after SIGTERM, clients are served on for so long
-	stopSends = 3200 * time.Millisecond // what is sent after SIGTERM must end by then
-	stopAll   = 3400 * time.Millisecond // the loop ends
-	// stopClients is when the process ends at the latest, also with clients that are owed an answer: SIGKILL may come 0.1 s later.
-	stopClients = 3600 * time.Millisecond
-	sweepEvery  = time.Second
-	tallyEvery  = 5                      // sweeps between two lines on how calls went
-	retryPause  = 250 * time.Millisecond // of an attempt that could not be written to the journal
-	eventRoom   = 4096
-	matchMost   = 20000 // rows of a saved list that are read during a handover
+	shutdownAcceptTime  = 500 * time.Millisecond  // after SIGTERM, clients are served on for so long
+	shutdownSendTimeout = 3200 * time.Millisecond // what is sent after SIGTERM must end by then
+	shutdownLoopTimeout = 3400 * time.Millisecond // the loop ends
+	// shutdownClientTimeout is when the process ends at the latest, also with clients that are owed an answer: SIGKILL may come 0.1 s later.
+	shutdownClientTimeout = 3600 * time.Millisecond
+	sweepInterval         = time.Second
+	sweepsPerCountLog     = 5                      // sweeps between two lines on how calls went
+	retryDelay            = 250 * time.Millisecond // of an attempt that could not be written to the journal
+	eventBufferSize       = 4096
+	maxMatchedRows        = 20000 // rows of a saved list that are read during a handover
 )
 
 // replyEvent is the one outcome of an attempt.
 type replyEvent struct {
-	call   *call
-	result result
-	took   time.Duration
+	call     *call
+	result   callResult
+	duration time.Duration
 }
 
-// healthEvent is the one outcome of a probe.
-type healthEvent struct {
-	ep      logic.EndpointID
-	outcome logic.Outcome
+// probeEvent is the one outcome of a probe.
+type probeEvent struct {
+	endpoint logic.EndpointID
+	outcome  logic.Outcome
 }
 
 // closingEvent starts the shutdown.
-type closingEvent struct{ left time.Duration }
+type closingEvent struct{ timeLeft time.Duration }
 
 // loop owns the module and all of the state: it takes what has come, lets the
 // module step, writes the journal and acts, at most once a tick.
 func (n *Node) loop(work context.Context, served, stopped <-chan struct{}) error {
-	tick := max(span(n.cfg.Deploy.Settings.Tick), time.Millisecond)
-	sweep := time.NewTicker(sweepEvery)
+	tick := max(toDuration(n.cfg.Deployment.Settings.Tick), time.Millisecond)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	pause := time.NewTimer(0)
 	defer pause.Stop()
 	sweeps := 0
 	quiet := false // shutting down, and no client is left
 	for {
-		if quiet && n.open == 0 && len(n.journal.entries) == 0 {
-			n.report()
+		if quiet && n.openMessages == 0 && len(n.journal.entries) == 0 {
+			n.logFinalCounts()
 			return nil
 		}
 		select {
-		case o := <-n.orders:
-			n.obey(o)
+		case o := <-n.commands:
+			n.applyCommand(o)
 		case x := <-n.successors:
 			if n.handOver(work, x, stopped) {
-				return errHanded
+				return errHandedOver
 			}
 			continue
 		case ev := <-n.events:
-			n.take(ev)
-		case x := <-n.writes:
-			n.allow(x)
+			n.handleEvent(ev)
+		case x := <-n.writeRequests:
+			n.handleWriteRequest(x)
 			continue
-		case <-n.moves:
+		case <-n.discoveryMoves:
 			if !n.watching { // a watch that is out goes to the new address by itself
-				n.next = append(n.next, logic.DiscoveryMoved{})
+				n.nextEvents = append(n.nextEvents, logic.DiscoveryMoved{})
 			}
 		case <-sweep.C:
-			n.caller.sweep()
-			n.forget()
-			if sweeps++; sweeps%tallyEvery == 0 {
-				n.tally()
+			n.transport.closeStale()
+			n.forgetExpired()
+			if sweeps++; sweeps%sweepsPerCountLog == 0 {
+				n.logCounts()
 			}
 			continue
 		case <-served:
@@ -83,21 +83,21 @@
 			continue
 		case <-stopped:
 			// What is still out stays in the journal as it is.
-			n.report()
+			n.logFinalCounts()
 			return nil
 		}
 		for more := true; more; {
 			select {
-			case o := <-n.orders:
-				n.obey(o)
+			case o := <-n.commands:
+				n.applyCommand(o)
 			case ev := <-n.events:
-				n.take(ev)
+				n.handleEvent(ev)
 			default:
 				more = false
 			}
 		}
 		n.step(work)
-		for len(n.next) > 0 {
+		for len(n.nextEvents) > 0 {
 			n.step(work)
 		}
 		pause.Reset(tick)
@@ -105,79 +105,79 @@
 			select {
 			case <-pause.C:
 				over = true
-			case x := <-n.writes:
-				n.allow(x)
+			case x := <-n.writeRequests:
+				n.handleWriteRequest(x)
 			}
 		}
 	}
 }
 
-// tally writes a line on how calls went and what is held, unless nothing happened.
-func (n *Node) tally() {
-	if counts := n.caller.report(); len(counts) > 0 {
-		counts = append(counts, "idle", n.caller.kept(), "open", n.open, "owed", len(n.journal.entries))
-		counts = append(counts, n.clients.report()...)
-		n.log.Info("calls", append(counts, n.guard.report()...)...)
+// logCounts writes a line on how calls went and what is held, unless nothing happened.
+func (n *Node) logCounts() {
+	if counts := n.transport.takeCounts(); len(counts) > 0 {
+		counts = append(counts, "idle", n.transport.idleCount(), "open", n.openMessages, "owed", len(n.journal.entries))
+		counts = append(counts, n.clients.takeCounts()...)
+		n.log.Info("calls", append(counts, n.guard.countAttrs()...)...)
 	}
 }
 
-// report writes what became of calls and clients since the last tally.
-func (n *Node) report() {
-	n.log.Info("clients at the end", n.clients.report()...)
-	n.tally()
+// logFinalCounts writes what became of calls and clients since the last tally.
+func (n *Node) logFinalCounts() {
+	n.log.Info("clients at the end", n.clients.takeCounts()...)
+	n.logCounts()
 }
 
-// take turns what has come into events for the next step.
-func (n *Node) take(ev any) {
+// handleEvent turns what has come into events for the next step.
+func (n *Node) handleEvent(ev any) {
 	switch ev := ev.(type) {
 	case putEvent:
-		n.put(ev)
+		n.handlePut(ev)
 	case replyEvent:
-		n.reply(ev)
-	case healthEvent:
-		n.next = append(n.next, logic.HealthResult{Endpoint: ev.ep, Outcome: ev.outcome})
+		n.handleReply(ev)
+	case probeEvent:
+		n.nextEvents = append(n.nextEvents, logic.HealthResult{Endpoint: ev.endpoint, Outcome: ev.outcome})
 	case discovery.Event:
-		n.list(ev)
+		n.handleListEvent(ev)
 	case logic.TimerExpired:
-		n.next = append(n.next, ev)
-	case noticedEvent:
+		n.nextEvents = append(n.nextEvents, ev)
+	case noticesConfirmedEvent:
 		for _, id := range ev.ids {
-			n.records = append(n.records, record{Op: opNoticed, ID: id})
+			n.pendingRecords = append(n.pendingRecords, record{Op: opNoticeConfirmed, ID: id})
 		}
-		if err := n.journal.Append(n.records); err != nil {
+		if err := n.journal.Append(n.pendingRecords); err != nil {
 			n.log.Error("journal", "err", err)
 		}
-		n.records = nil
+		n.pendingRecords = nil
 	case closingEvent:
 		n.closing = true
-		n.next = append(n.next, logic.Stopping{TimeLeft: micros(ev.left)})
+		n.nextEvents = append(n.nextEvents, logic.Stopping{TimeLeft: toMicros(ev.timeLeft)})
 	}
 }
 
-// forget drops ids that nobody can hand in any more, and endpoints that are gone.
-func (n *Node) forget() {
+// forgetExpired drops ids that nobody can hand in any more, and endpoints that are gone.
+func (n *Node) forgetExpired() {
 	now := time.Now()
-	n.dir.Forget(now, func(name string, id logic.EndpointID) bool {
-		if n.journal.out[name] {
+	n.directory.Forget(now, func(name string, id logic.EndpointID) bool {
+		if n.journal.disabled[name] {
 			return true
 		}
 		for _, h := range n.held {
-			if h.call != nil && h.call.ep == id {
+			if h.call != nil && h.call.endpoint == id {
 				return true
 			}
 		}
 		return false
 	})
-	for id, t := range n.recent {
+	for id, t := range n.recentIDs {
 		if now.After(t) {
-			delete(n.recent, id)
+			delete(n.recentIDs, id)
 		}
 	}
 }
 
 // step lets the module decide, writes the journal and then acts, in order.
 func (n *Node) step(work context.Context) {
-	events := n.next
-	n.next = nil
-	n.carryOut(work, n.sender.Step(micros(time.Since(n.start)), events))
+	events := n.nextEvents
+	n.nextEvents = nil
+	n.executeActions(work, n.sender.Step(toMicros(time.Since(n.startedAt)), events))
 }
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -12,25 +12,25 @@
 	"crossdeal/logic"
 )
 
-// beginList fills the directory with the saved list or that of the configuration, whichever is newer, and says whether
+// loadInitialList fills the directory with the saved list or that of the configuration, whichever is newer, and says whether
 // there is one. Its generation is below 0 if changes to it can't be asked for: there is none, or it came from another
 // address, whose generations are others.
-func (n *Node) beginList() (generation int64, listed bool) {
-	now, known := time.Now(), n.cfg.Known
+func (n *Node) loadInitialList() (generation int64, listed bool) {
+	now, known := time.Now(), n.cfg.KnownList
 	given := known.Generation != 0 || len(known.Instances) > 0
-	saved, err := n.saved.Peek()
-	same := saved.Origin == n.cfg.Discovery
+	saved, err := n.listStore.Peek()
+	same := saved.Origin == n.cfg.DiscoveryAddr
 	if err == nil && (same && saved.Generation > known.Generation || !given) {
-		if saved, err = n.saved.Load(func(rows []discovery.Instance) error {
-			u := n.dir.Reduce(discovery.List{Instances: rows})
-			n.dir.Apply(&u, now)
+		if saved, err = n.listStore.Load(func(rows []discovery.Instance) error {
+			u := n.directory.Reduce(discovery.List{Instances: rows})
+			n.directory.Apply(&u, now)
 			return nil
 		}); err == nil {
-			n.log.Info("begins with the saved list", "generation", saved.Generation, "from", saved.Origin, "entries", n.dir.Len())
+			n.log.Info("begins with the saved list", "generation", saved.Generation, "from", saved.Origin, "entries", n.directory.Len())
 			if !same {
 				return -1, true
 			}
-			n.generation = saved.Generation
+			n.listGeneration = saved.Generation
 			return saved.Generation, true
 		}
 	}
@@ -38,57 +38,57 @@
 		n.log.Warn("the saved list is not used", "err", err)
 	}
 	known.Reset = true // what a saved list has told that broke off is dropped
-	u := n.dir.Reduce(known)
-	n.dir.Apply(&u, now)
+	u := n.directory.Reduce(known)
+	n.directory.Apply(&u, now)
 	if !given {
 		return -1, false
 	}
-	n.generation = known.Generation
+	n.listGeneration = known.Generation
 	return known.Generation, true
 }
 
-// matchSaved takes from the saved list what a handover does not tell, if it is the list that was handed over: else the
+// matchSavedList takes from the saved list what a handover does not tell, if it is the list that was handed over: else the
 // next whole list tells it, and nothing is saved until then. A long list would keep clients waiting.
-func (n *Node) matchSaved(origin string, generation int64) {
-	saved, err := n.saved.Peek()
-	if n.dir.Known() || err != nil || "http://"+saved.Origin != origin || saved.Generation != generation || saved.Count > matchMost {
+func (n *Node) matchSavedList(origin string, generation int64) {
+	saved, err := n.listStore.Peek()
+	if n.directory.Known() || err != nil || "http://"+saved.Origin != origin || saved.Generation != generation || saved.Count > maxMatchedRows {
 		return
 	}
 	now := time.Now()
-	if _, err := n.saved.Load(func(rows []discovery.Instance) error {
-		u := n.dir.Reduce(discovery.List{Instances: rows})
-		n.dir.Apply(&u, now) // the module knows it
+	if _, err := n.listStore.Load(func(rows []discovery.Instance) error {
+		u := n.directory.Reduce(discovery.List{Instances: rows})
+		n.directory.Apply(&u, now) // the module knows it
 		return nil
 	}); err != nil {
 		n.log.Warn("the saved list is not used", "err", err)
 		return
 	}
-	n.dir.Settle(now)
+	n.directory.Settle(now)
 }
 
-func (n *Node) list(ev discovery.Event) {
+func (n *Node) handleListEvent(ev discovery.Event) {
 	if ev.Err != nil {
 		n.watching = false
-		n.next = append(n.next, logic.ListUpdate{Form: logic.ListRequestFailed, Unresponsive: ev.Silent})
-		if n.disc.IsMoved() { // meanwhile, so the failure was not the new address's
-			n.next = append(n.next, logic.DiscoveryMoved{})
+		n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListRequestFailed, Unresponsive: ev.Silent})
+		if n.watcher.IsMoved() { // meanwhile, so the failure was not the new address's
+			n.nextEvents = append(n.nextEvents, logic.DiscoveryMoved{})
 		}
 		return
 	}
 	switch {
 	case ev.Watched:
-		n.next = append(n.next, logic.ListUpdate{Form: logic.ListWatchOpen})
+		n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListWatchOpen})
 		return
 	case ev.Begun:
-		n.next = append(n.next, logic.ListUpdate{Form: logic.ListAnswerBegun})
+		n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListAnswerBegun})
 		return
 	case ev.Unusable:
-		n.next = append(n.next, logic.ListUpdate{Form: logic.ListAnswerUnusable})
+		n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListAnswerUnusable})
 		return
 	}
 	u := &ev.Update
-	n.generation = u.Generation
-	rows := n.dir.Apply(u, time.Now())
+	n.listGeneration = u.Generation
+	rows := n.directory.Apply(u, time.Now())
 	if ev.Done != nil {
 		ev.Done()
 	}
@@ -99,10 +99,10 @@
 		n.log.Warn("list, too many endpoints of one destination", "generation", u.Generation, "left aside", u.Omitted)
 	}
 	if len(rows) > 0 || u.Whole {
-		n.log.Info("list", "generation", u.Generation, "whole", u.Whole, "entries", len(rows), "listed", n.dir.Len())
+		n.log.Info("list", "generation", u.Generation, "whole", u.Whole, "entries", len(rows), "listed", n.directory.Len())
 	}
 	// A whole list comes as what it changes: the module is told the same, and that the list is fresh.
-	n.next = append(n.next, logic.ListUpdate{Form: logic.ListDelta, Entries: rows})
+	n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListDelta, Entries: rows})
 	if len(rows) == 0 {
 		return
 	}
@@ -111,20 +111,20 @@
 		changed[row.Endpoint] = row.State
 	}
 	for _, h := range n.held {
-		if h.stop == nil {
+		if h.cancelCall == nil {
 			continue
 		}
-		state, ok := changed[h.call.ep]
-		if to := n.target(h.call.ep); ok && (state != logic.Ready || h.call.addr != to.Addr || h.call.dest != to.Dest) {
-			h.hold() // else it would connect to where the endpoint was
+		state, ok := changed[h.call.endpoint]
+		if to := n.target(h.call.endpoint); ok && (state != logic.Ready || h.call.addr != to.Addr || h.call.destination != to.Dest) {
+			h.withholdCall() // else it would connect to where the endpoint was
 		}
 	}
 }
 
-// listen watches the list, unless a watch is on. It ends with the event of a call that failed.
-func (n *Node) listen(work context.Context) {
+// watchList watches the list, unless a watch is on. It ends with the event of a call that failed.
+func (n *Node) watchList(work context.Context) {
 	if !n.watching {
 		n.watching = true
-		go n.disc.Watch(work)
+		go n.watcher.Watch(work)
 	}
 }
--- a/internal/node/membership_test.go
+++ b/internal/node/membership_test.go
@@ -17,8 +17,8 @@
 	testSlack  = 100 * time.Millisecond // for a busy machine, from the program's write to the time that a test reads
 )
 
-// pushedText is a configuration whose settings say that the list is pushed to so many senders.
-func pushedText(p *platform, known discovery.List, senders int, seed int) []byte {
+// pushedConfigText is a configuration whose settings say that the list is pushed to so many senders.
+func pushedConfigText(p *testPlatform, known discovery.List, senders int, seed int) []byte {
 	text := string(configText(p, known))
 	for _, change := range [][2]string{{`"membership_mode":"on_request"`, `"membership_mode":"pushed"`},
 		{`"balancers":1`, fmt.Sprintf(`"balancers":%d`, senders)}, {`"drain_grace_s":2`, `"drain_grace_s":1`},
@@ -43,8 +43,8 @@
 	a.at = append(a.at, at)
 }
 
-// after counts the calls that came later than a time, and says how much later the last one did.
-func (a *arrivals) after(limit time.Time) (count int, most time.Duration) {
+// countAfter counts the calls that came later than a time, and says how much later the last one did.
+func (a *arrivals) countAfter(limit time.Time) (count int, most time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, at := range a.at {
@@ -57,20 +57,20 @@
 }
 
 // answerAll answers every call with 200 and keeps when it came.
-func (e *endpoint) answerAll() *arrivals {
+func (e *testEndpoint) answerAll() *arrivals {
 	a := &arrivals{}
 	go func() {
 		for c := range e.calls {
-			a.add(c.at)
+			a.add(c.receivedAt)
 			c.reply(200)
 		}
 	}()
 	return a
 }
 
-// feed hands a message in every few milliseconds until stop is closed.
-func feed(addr, name string, stop <-chan struct{}, t *testing.T) {
-	c := dial(t, addr)
+// sendMessagesUntil hands a message in every few milliseconds until stop is closed.
+func sendMessagesUntil(addr, name string, stop <-chan struct{}, t *testing.T) {
+	c := dialClient(t, addr)
 	for i := 0; ; i++ {
 		select {
 		case <-stop:
@@ -84,32 +84,32 @@
 // Where the list is pushed, what discovery's agent has counts as told from the first moment of a process, whether or
 // not a watch is open: with few senders or many in the settings, a first start sends nothing to what drains past the
 // grace (incident 1).
-func TestFirstStartHeedsWhatTheAgentHas(t *testing.T) {
-	path, err := program()
+func TestFirstStartRespectsDrainKnownToAgent(t *testing.T) {
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, senders := range []int{2, 40, 300} {
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
 			t.Parallel()
-			drains, stays := newEndpoint(t), newEndpoint(t)
+			drains, stays := newTestEndpoint(t), newTestEndpoint(t)
 			late, _ := drains.answerAll(), stays.answerAll()
-			known := discovery.List{Generation: 1, Reset: true, Instances: instances(drains, stays)}
-			p := newPlatform(t)
-			p.list = discovery.List{Generation: 2, Reset: true, Instances: instances(drains, stays)}
+			known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(drains, stays)}
+			p := newTestPlatform(t)
+			p.list = discovery.List{Generation: 2, Reset: true, Instances: instancesOf(drains, stays)}
 			p.list.Instances[0].Lifecycle = "draining"
 			stop := make(chan struct{})
 			var fed sync.WaitGroup
 			var begun time.Time
 			for i := range 4 {
-				x := startText(t, p, t.TempDir(), pushedText(p, known, senders, i), "127.0.0.1:0", exec.Command(path))
+				x := startProcessWithConfig(t, p, t.TempDir(), pushedConfigText(p, known, senders, i), "127.0.0.1:0", exec.Command(path))
 				begun = time.Now()
-				fed.Go(func() { feed(x.addr, fmt.Sprintf("m%d", i), stop, t) })
+				fed.Go(func() { sendMessagesUntil(x.addr, fmt.Sprintf("m%d", i), stop, t) })
 			}
 			time.Sleep(6 * time.Second)
 			close(stop)
 			fed.Wait()
-			count, most := late.after(begun.Add(drainGrace + drainSlack + testSlack))
+			count, most := late.countAfter(begun.Add(drainGrace + drainSlack + testSlack))
 			if count > 0 {
 				t.Errorf("%d calls to a draining endpoint past grace and slack, the last %v later", count, most)
 			}
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -13,108 +13,108 @@
 	"crossdeal/logic"
 )
 
-// held is a message that the module has and that is not over.
-type held struct {
-	msg    *Message
-	tries  int
-	over   bool                    // ended; an attempt is still out
-	stop   context.CancelCauseFunc // of the attempt that is out
-	call   *call                   // that attempt
-	parked *idleConn               // its connection, once it is parked for another process
+// heldMessage is a message that the module has and that is not over.
+type heldMessage struct {
+	message    *Message
+	attempts   int
+	ended      bool                    // ended; an attempt is still out
+	cancelCall context.CancelCauseFunc // of the attempt that is out
+	call       *call                   // that attempt
+	parkedConn *endpointConn           // its connection, once it is parked for another process
 }
 
-// callOf is the module's view of a message.
-func (n *Node) callOf(m *Message, now int64) logic.NewMessage {
-	c := logic.NewMessage{ID: m.ID, Key: m.Order, TimeLeft: logic.Micros(m.Deadline - now), Destination: m.Dest, Tenant: -1, Class: n.cfg.Classes[m.Class]}
-	if t, ok := n.cfg.Tenants[m.Tenant]; ok && m.Tenant != "" {
+// logicCall is the module's view of a message.
+func (n *Node) logicCall(m *Message, now int64) logic.NewMessage {
+	c := logic.NewMessage{ID: m.ID, Key: m.OrderKey, TimeLeft: logic.Micros(m.Deadline - now), Destination: m.Destination, Tenant: -1, Class: n.cfg.ClassIndexes[m.Class]}
+	if t, ok := n.cfg.TenantIndexes[m.Tenant]; ok && m.Tenant != "" {
 		c.Tenant = t
 	}
 	return c
 }
 
-func (n *Node) put(ev putEvent) {
-	id := ev.msg.ID
-	_, over := n.recent[id]
+func (n *Node) handlePut(ev putEvent) {
+	id := ev.message.ID
+	_, over := n.recentIDs[id]
 	if n.held[id] != nil || n.journal.Entry(id) != nil || over {
-		n.trace.repeated(id)
-		if n.waits(id) {
-			n.puts = append(n.puts, ev) // it gets the answer of the first
+		n.trace.duplicate(id)
+		if n.putInThisStep(id) {
+			n.newPuts = append(n.newPuts, ev) // it gets the answer of the first
 			return
 		}
 		ev.answer <- answerOK
 		return
 	}
-	most := n.cfg.Deploy.Settings.MaxOpen
-	if most > 0 && n.open >= most || !n.journal.Room(len(ev.msg.Body)) {
-		n.trace.turnedAway(id, n.open, most)
-		ev.answer <- busy(0)
+	most := n.cfg.Deployment.Settings.MaxOpen
+	if most > 0 && n.openMessages >= most || !n.journal.HasRoom(len(ev.message.Body)) {
+		n.trace.rejected(id, n.openMessages, most)
+		ev.answer <- busyAnswer(0)
 		return
 	}
-	m := ev.msg
-	n.held[id] = &held{msg: &m}
-	n.open++
-	n.puts = append(n.puts, ev)
-	n.next = append(n.next, n.callOf(&m, n.clock.Now()))
+	m := ev.message
+	n.held[id] = &heldMessage{message: &m}
+	n.openMessages++
+	n.newPuts = append(n.newPuts, ev)
+	n.nextEvents = append(n.nextEvents, n.logicCall(&m, n.clock.Now()))
 }
 
-// waits says whether the message came since the last step.
-func (n *Node) waits(id string) bool {
-	for _, p := range n.puts {
-		if p.msg.ID == id {
+// putInThisStep says whether the message came since the last step.
+func (n *Node) putInThisStep(id string) bool {
+	for _, p := range n.newPuts {
+		if p.message.ID == id {
 			return true
 		}
 	}
 	return false
 }
 
-func busy(after logic.Micros) string {
+func busyAnswer(after logic.Micros) string {
 	if after <= 0 {
 		return "-BUSY\r\n"
 	}
 	return fmt.Sprintf("-BUSY %d\r\n", (after+999)/1000)
 }
 
-func (n *Node) reply(ev replyEvent) {
+func (n *Node) handleReply(ev replyEvent) {
 	h := n.held[ev.call.id]
 	if h == nil {
 		return
 	}
 	r := ev.result
-	if r.parked != nil {
-		h.parked = r.parked
+	if r.parkedConn != nil {
+		h.parkedConn = r.parkedConn
 		return
 	}
-	if h.stop != nil {
-		h.stop(nil)
-		h.stop, h.call = nil, nil
+	if h.cancelCall != nil {
+		h.cancelCall(nil)
+		h.cancelCall, h.call = nil, nil
 	}
-	if r.wait > 0 {
-		n.guard.wait(n.waitTargetOf(ev.call.ep, n.target(ev.call.ep)), r.wait, time.Now())
-		n.holdWait(ev.call.ep)
+	if r.retryAfter > 0 {
+		n.guard.addWait(n.waitTargetOf(ev.call.endpoint, n.target(ev.call.endpoint)), r.retryAfter, time.Now())
+		n.withholdCallsForWait(ev.call.endpoint)
 	}
-	ended := h.over
-	done := r.outcome == logic.Completed || r.over
+	ended := h.ended
+	done := r.outcome == logic.Completed || r.messageEnded
 	n.trace.outcome(ev)
 	switch {
 	case ended:
 	case done:
-		n.records = append(n.records, record{Op: opDone, ID: ev.call.id})
-		n.finish(ev.call.id, h)
+		n.pendingRecords = append(n.pendingRecords, record{Op: opDone, ID: ev.call.id})
+		n.endMessage(ev.call.id, h)
 	default:
-		n.records = append(n.records, record{Op: opOutcome, ID: ev.call.id, MayRun: mayHaveRun(r.outcome)})
+		n.pendingRecords = append(n.pendingRecords, record{Op: opOutcome, ID: ev.call.id, MayHaveRun: mayHaveRun(r.outcome)})
 	}
-	if h.over {
+	if h.ended {
 		delete(n.held, ev.call.id)
 	}
-	n.next = append(n.next, logic.AttemptResult{ID: ev.call.id, MessageEnded: ended || done, Endpoint: ev.call.ep,
-		Attempt: ev.call.attempt, Outcome: r.outcome, Duration: micros(ev.took), RetryAfter: micros(r.wait),
-		Load: n.loadOf(r.report)})
+	n.nextEvents = append(n.nextEvents, logic.AttemptResult{ID: ev.call.id, MessageEnded: ended || done, Endpoint: ev.call.endpoint,
+		Attempt: ev.call.attempt, Outcome: r.outcome, Duration: toMicros(ev.duration), RetryAfter: toMicros(r.retryAfter),
+		Load: n.parseLoadReport(r.loadReport)})
 }
 
-// loadOf reads the report of an answer, each field in the place that the settings give it; nil if there is none.
+// parseLoadReport reads the report of an answer, each field in the place that the settings give it; nil if there is none.
 // What cannot be read is left out.
-func (n *Node) loadOf(report string) []float64 {
-	set := n.cfg.Deploy.Settings
+func (n *Node) parseLoadReport(report string) []float64 {
+	set := n.cfg.Deployment.Settings
 	var load []float64
 	for pair := range strings.SplitSeq(report, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
@@ -142,38 +142,38 @@
 	return o != logic.Rejected && o != logic.ConnRefused && o != logic.NotSent
 }
 
-// finish takes a message off the books; its id is remembered until its time is up. A call of it that is out and not
+// endMessage takes a message off the books; its id is remembered until its time is up. A call of it that is out and not
 // written yet never is.
-func (n *Node) finish(id string, h *held) {
-	if h.over {
-		n.guard.violation(ruleEnd, "id", id)
+func (n *Node) endMessage(id string, h *heldMessage) {
+	if h.ended {
+		n.guard.recordViolation(ruleEnd, "id", id)
 		return
 	}
-	h.over = true
-	n.open--
-	n.recent[id] = n.clock.Time(h.msg.Deadline)
-	if h.stop == nil {
+	h.ended = true
+	n.openMessages--
+	n.recentIDs[id] = n.clock.Time(h.message.Deadline)
+	if h.cancelCall == nil {
 		delete(n.held, id)
 		return
 	}
-	h.hold()
+	h.withholdCall()
 }
 
-// answers finds the messages that the module ends in the step in which they came:
+// immediateAnswers finds the messages that the module ends in the step in which they came:
 // their clients are told at once.
-func (n *Node) answers(actions []logic.Action) map[string]string {
+func (n *Node) immediateAnswers(actions []logic.Action) map[string]string {
 	out := map[string]string{}
-	if len(n.puts) == 0 {
+	if len(n.newPuts) == 0 {
 		return out
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case logic.Refuse:
-			if n.waits(a.ID) {
-				out[a.ID] = busy(a.RetryIn)
+			if n.putInThisStep(a.ID) {
+				out[a.ID] = busyAnswer(a.RetryIn)
 			}
 		case logic.Fail:
-			if n.waits(a.ID) {
+			if n.putInThisStep(a.ID) {
 				out[a.ID] = answerFailed
 			}
 		}
@@ -191,10 +191,10 @@
 	return Notice{}
 }
 
-// drop forgets a message that was never taken on.
-func (n *Node) drop(id string) {
-	if h := n.held[id]; h != nil && !h.over {
-		n.open--
+// dropUnaccepted forgets a message that was never taken on.
+func (n *Node) dropUnaccepted(id string) {
+	if h := n.held[id]; h != nil && !h.ended {
+		n.openMessages--
 		delete(n.held, id)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,15 +16,15 @@
 	"crossdeal/logic"
 )
 
-// leave is asked for before a call is written on a new connection: the journal has to know first, for whoever reads it
+// writeRequest is asked for before a call is written on a new connection: the journal has to know first, for whoever reads it
 // next must take a call that only connected for one that never ran, and one that was written for one that may have.
-type leave struct {
+type writeRequest struct {
 	call   *call
 	answer chan<- bool
 }
 
-// watcher watches the list and sends a discovery.Event for what it learns.
-type watcher interface {
+// listWatcher watches the list and sends a discovery.Event for what it learns.
+type listWatcher interface {
 	Begin(generation int64, restart bool)
 	Watch(ctx context.Context)
 	Move(addr string)
@@ -34,43 +34,43 @@
 
 // Node is one sender.
 type Node struct {
-	cfg        *Config
-	log        *slog.Logger
-	journal    *Journal
-	sender     *logic.Sender
-	caller     *caller
-	clock      *clock.Clock
-	trace      *tracer
-	guard      *guard
-	dir        *discovery.Directory
-	saved      *discovery.Store
-	disc       watcher
-	notices    *notices
-	clients    *clients
-	admin      *adminServer // nil where no operator address is given
-	events     chan any
-	orders     chan order
-	successors chan successor
-	handAfter  time.Time     // no state transfer before: one has failed
-	moves      chan struct{} // holds one token when discovery has moved
-	writes     chan leave    // calls that have connected and would be written
-	sockets    int           // descriptors that this process and another version of it may hold together
-	lock       *os.File
-	again      bool // the folder has been in use before: this is a restart
-	ln         net.Listener
-	ready      chan net.Addr // gets the address once clients are served
+	cfg              *Config
+	log              *slog.Logger
+	journal          *Journal
+	sender           *logic.Sender
+	transport        *transport
+	clock            *clock.Clock
+	trace            *tracer
+	guard            *guard
+	directory        *discovery.Directory
+	listStore        *discovery.Store
+	watcher          listWatcher
+	notices          *noticeQueue
+	clients          *clients
+	admin            *adminServer // nil where no operator address is given
+	events           chan any
+	commands         chan operatorCommand
+	successors       chan successor
+	noHandoverBefore time.Time         // no state transfer before: one has failed
+	discoveryMoves   chan struct{}     // holds one token when discovery has moved
+	writeRequests    chan writeRequest // calls that have connected and would be written
+	maxDescriptors   int               // descriptors that this process and another version of it may hold together
+	lockFile         *os.File
+	restarted        bool // the folder has been in use before: this is a restart
+	listener         net.Listener
+	ready            chan net.Addr // gets the address once clients are served
 
 	// What follows belongs to the loop.
-	start      time.Time
-	held       map[string]*held
-	open       int                  // of held, those not over
-	recent     map[string]time.Time // ids that were taken on and are over, until their time is up
-	next       []logic.Event        // for the next step
-	watching   bool
-	generation int64 // of the list that the module has
-	closing    bool
-	puts       []putEvent
-	records    []record
+	startedAt      time.Time
+	held           map[string]*heldMessage
+	openMessages   int                  // of held, those not over
+	recentIDs      map[string]time.Time // ids that were taken on and are over, until their time is up
+	nextEvents     []logic.Event        // for the next step
+	watching       bool
+	listGeneration int64 // of the list that the module has
+	closing        bool
+	newPuts        []putEvent
+	pendingRecords []record
 }
 
 // New makes a sender and replays its journal, unless another process owns it: then Run takes over from that one.
@@ -78,24 +78,24 @@
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	for _, doubt := range cfg.Doubts {
+	for _, doubt := range cfg.Warnings {
 		log.Warn("configuration", "err", doubt)
 	}
-	setMembershipMode(&cfg.Deploy.Settings)
+	setMembershipMode(&cfg.Deployment.Settings)
 	n := newNode(cfg, log)
 	n.shareDescriptors()
-	set := &cfg.Deploy.Settings
+	set := &cfg.Deployment.Settings
 	var err error
 	if n.sender, err = logic.New(*set, cfg.Seed); err != nil {
 		return nil, err
 	}
-	n.caller = newCaller(span(cfg.Deploy.ConnectTimeout), span(set.ConnIdle), set.Slots, n.sockets/4)
-	n.caller.fds = n.clients
-	n.saved = discovery.OpenStore(cfg.StateDir, cfg.Limits.storeBytes(), log)
-	n.disc = n.discoveryClient()
-	n.notices = newNotices(cfg.Discovery, log, n.events)
+	n.transport = newTransport(toDuration(cfg.Deployment.ConnectTimeout), toDuration(set.ConnIdle), set.Slots, n.maxDescriptors/4)
+	n.transport.clients = n.clients
+	n.listStore = discovery.OpenStore(cfg.StateDir, cfg.Limits.listStoreBytes(), log)
+	n.watcher = n.newDiscoveryClient()
+	n.notices = newNoticeQueue(cfg.DiscoveryAddr, log, n.events)
 	n.logSettings()
-	if err := n.own(); err != nil && !errors.Is(err, errLocked) {
+	if err := n.acquireState(); err != nil && !errors.Is(err, errStateLocked) {
 		return nil, err
 	}
 	return n, nil
@@ -105,31 +105,31 @@
 func setMembershipMode(set *logic.Settings) {
 	set.ListPushed = !set.ListOnRequest
 	if set.ListOnRequest && set.Senders >= discovery.SpreadFrom { // with pauses between its calls for the list
-		set.MaxListAge = micros(discovery.ListAge) + set.DrainGrace
+		set.MaxListAge = toMicros(discovery.ListAge) + set.DrainGrace
 	}
 }
 
 // newNode makes a sender with its channels and tables, and what stands between it and clients and operators.
 func newNode(cfg *Config, log *slog.Logger) *Node {
-	n := &Node{cfg: cfg, log: log, start: time.Now(),
-		dir:        discovery.NewDirectory(cfg.Deploy.Zones, cfg.Deploy.Settings.Kinds),
-		events:     make(chan any, eventRoom),
-		orders:     make(chan order),
-		successors: make(chan successor),
-		moves:      make(chan struct{}, 1),
-		writes:     make(chan leave),
-		ready:      make(chan net.Addr, 1),
-		held:       map[string]*held{},
-		recent:     map[string]time.Time{}}
-	n.sockets = descriptorLimit(cfg.Limits.Sockets)
-	if cfg.Limits.Sockets > n.sockets {
-		cfg.Limits.Sockets = n.sockets
+	n := &Node{cfg: cfg, log: log, startedAt: time.Now(),
+		directory:      discovery.NewDirectory(cfg.Deployment.Zones, cfg.Deployment.Settings.Kinds),
+		events:         make(chan any, eventBufferSize),
+		commands:       make(chan operatorCommand),
+		successors:     make(chan successor),
+		discoveryMoves: make(chan struct{}, 1),
+		writeRequests:  make(chan writeRequest),
+		ready:          make(chan net.Addr, 1),
+		held:           map[string]*heldMessage{},
+		recentIDs:      map[string]time.Time{}}
+	n.maxDescriptors = descriptorLimit(cfg.Limits.Sockets)
+	if cfg.Limits.Sockets > n.maxDescriptors {
+		cfg.Limits.Sockets = n.maxDescriptors
 	}
-	if cfg.Operator != "" {
-		n.admin = newAdminServer(log, n.sockets, n.orders)
+	if cfg.OperatorAddr != "" {
+		n.admin = newAdminServer(log, n.maxDescriptors, n.commands)
 	}
 	n.clients = newClients(cfg, log, n.events)
-	n.trace, n.guard, n.clock = newTracer(log, n.dir), n.clients.guard, n.clients.clock
+	n.trace, n.guard, n.clock = newTracer(log, n.directory), n.clients.guard, n.clients.clock
 	return n
 }
 
@@ -137,48 +137,48 @@
 func (n *Node) shareDescriptors() {
 	operators := 0
 	if n.admin != nil {
-		operators = n.admin.most
+		operators = n.admin.maxConns
 	}
-	set := &n.cfg.Deploy.Settings
-	calls := n.clients.shareDescriptors(n.sockets, operators)
+	set := &n.cfg.Deployment.Settings
+	calls := n.clients.shareDescriptors(n.maxDescriptors, operators)
 	if set.Slots > calls {
 		n.log.Warn("configuration", "err",
-			fmt.Sprintf("%d slots do not go with %d descriptors, taken for %d", set.Slots, n.sockets, calls))
+			fmt.Sprintf("%d slots do not go with %d descriptors, taken for %d", set.Slots, n.maxDescriptors, calls))
 		set.Slots = calls
 	}
 }
 
 // logSettings writes what decides most of what the sender does.
 func (n *Node) logSettings() {
-	set := &n.cfg.Deploy.Settings
-	n.log.Info("settings", "on_request", set.ListOnRequest, "senders", set.Senders, "drain_grace", span(set.DrainGrace).String(),
-		"slots", set.Slots, "max_open", set.MaxOpen, "known", len(n.cfg.Known.Instances), "generation", n.cfg.Known.Generation)
+	set := &n.cfg.Deployment.Settings
+	n.log.Info("settings", "on_request", set.ListOnRequest, "senders", set.Senders, "drain_grace", toDuration(set.DrainGrace).String(),
+		"slots", set.Slots, "max_open", set.MaxOpen, "known", len(n.cfg.KnownList.Instances), "generation", n.cfg.KnownList.Generation)
 }
 
-// own makes this process the owner of the state and replays the journal; errLocked if another one is.
-func (n *Node) own() (err error) {
-	_, none := os.Stat(filepath.Join(n.cfg.StateDir, lockName))
-	if n.lock, err = lockState(n.cfg.StateDir); err != nil {
+// acquireState makes this process the owner of the state and replays the journal; errLocked if another one is.
+func (n *Node) acquireState() (err error) {
+	_, none := os.Stat(filepath.Join(n.cfg.StateDir, lockFileName))
+	if n.lockFile, err = lockState(n.cfg.StateDir); err != nil {
 		return err
 	}
 	n.journal, err = n.openJournal()
-	n.again = none == nil || err == nil && n.journal.size > 0
-	if err == nil && n.journal.cut > 0 {
-		n.log.Warn("journal was not whole", "cut", n.journal.cut)
+	n.restarted = none == nil || err == nil && n.journal.size > 0
+	if err == nil && n.journal.truncatedBytes > 0 {
+		n.log.Warn("journal was not whole", "cut", n.journal.truncatedBytes)
 	}
 	return err
 }
 
-// discoveryClient is the client that watches the list for this sender.
-func (n *Node) discoveryClient() *discovery.Client {
-	set := &n.cfg.Deploy.Settings
-	return discovery.NewClient(discovery.Config{Addr: n.cfg.Discovery, Senders: set.Senders, Pushed: set.ListPushed, Grace: span(set.DrainGrace),
-		Seed: n.cfg.Seed, MaxBytes: n.cfg.Limits.listBytes(), Directory: n.dir, Store: n.saved, Log: n.log}, n.events)
+// newDiscoveryClient is the client that watches the list for this sender.
+func (n *Node) newDiscoveryClient() *discovery.Client {
+	set := &n.cfg.Deployment.Settings
+	return discovery.NewClient(discovery.Config{Addr: n.cfg.DiscoveryAddr, Senders: set.Senders, Pushed: set.ListPushed, Grace: toDuration(set.DrainGrace),
+		Seed: n.cfg.Seed, MaxBytes: n.cfg.Limits.maxListBytes(), Directory: n.directory, Store: n.listStore, Log: n.log}, n.events)
 }
 
 // target is where an endpoint can be reached; without an address if it never had one.
 func (n *Node) target(ep logic.EndpointID) discovery.Target {
-	t, _ := n.dir.Target(ep)
+	t, _ := n.directory.Target(ep)
 	return t
 }
 
@@ -186,20 +186,20 @@
 	return OpenJournal(n.cfg.StateDir, n.cfg.Limits.diskBytes())
 }
 
-// Move takes another address of discovery, for the list and for notices. It may be called at any time.
-func (n *Node) Move(addr string) {
+// MoveDiscovery takes another address of discovery, for the list and for notices. It may be called at any time.
+func (n *Node) MoveDiscovery(addr string) {
 	n.log.Info("discovery has moved", "addr", addr)
-	n.disc.Move(addr)
-	n.notices.move(addr)
+	n.watcher.Move(addr)
+	n.notices.setAddr(addr)
 	select {
-	case n.moves <- struct{}{}:
+	case n.discoveryMoves <- struct{}{}:
 	default: // a token is there already
 	}
 }
 
-func span(t logic.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
+func toDuration(t logic.Micros) time.Duration { return time.Duration(t) * time.Microsecond }
 
-func micros(d time.Duration) logic.Micros {
+func toMicros(d time.Duration) logic.Micros {
 	return logic.Micros(d / time.Microsecond)
 }
 
@@ -213,22 +213,22 @@
 		return err
 	}
 	defer endAdmin()
-	if err := n.begin(ctx, work); err != nil {
+	if err := n.acquireMessages(ctx, work); err != nil {
 		if ctx.Err() != nil {
 			return nil // stopped while it waited for its turn
 		}
 		return err
 	}
-	ln := n.ln
-	if err := n.expectSuccessors(work); err != nil {
+	ln := n.listener
+	if err := n.listenForSuccessors(work); err != nil {
 		n.log.Error("no handover to a new process will be possible", "err", err)
 	}
-	if !n.cfg.Deploy.Settings.ListOnRequest {
-		n.listen(work) // the module is told of changes without asking; on a socket somebody must ask
+	if !n.cfg.Deployment.Settings.ListOnRequest {
+		n.watchList(work) // the module is told of changes without asking; on a socket somebody must ask
 	}
 	go n.notices.run(work)
 	go n.clients.serve(ln)
-	n.admit(nil)
+	n.setReadiness(nil)
 	n.log.Info("ready", "name", n.cfg.Name, "addr", ln.Addr().String(), "held", len(n.held))
 	n.ready <- ln.Addr()
 	served := make(chan struct{}) // closed when no client is left
@@ -241,12 +241,12 @@
 			return
 		}
 		at := time.Now()
-		exitBy = at.Add(stopClients)
-		n.admit(errStopping)
-		n.events <- closingEvent{stopSends}
-		time.Sleep(acceptOn)
+		exitBy = at.Add(shutdownClientTimeout)
+		n.setReadiness(errStopping)
+		n.events <- closingEvent{shutdownSendTimeout}
+		time.Sleep(shutdownAcceptTime)
 		ln.Close()
-		grace, end := context.WithDeadline(work, at.Add(stopAll))
+		grace, end := context.WithDeadline(work, at.Add(shutdownLoopTimeout))
 		defer end()
 		n.clients.shutdown(grace)
 		close(served)
@@ -254,19 +254,19 @@
 		close(stopped)
 	}()
 	err = n.loop(work, served, stopped)
-	if errors.Is(err, errHanded) {
+	if errors.Is(err, errHandedOver) {
 		cancel()
-		n.leave(ctx)
+		n.finishAfterHandover(ctx)
 		return nil
 	}
-	n.endClients(exitBy)
-	n.log.Info("stopped", "owed", len(n.journal.entries), "violations", n.guard.violations())
+	n.drainClients(exitBy)
+	n.log.Info("stopped", "owed", len(n.journal.entries), "violations", n.guard.violationTotal())
 	return err
 }
 
-// begin makes this process the owner of the messages and opens the way to clients: alone, or with all that another
+// acquireMessages makes this process the owner of the messages and opens the way to clients: alone, or with all that another
 // process hands over.
-func (n *Node) begin(ctx, work context.Context) error {
+func (n *Node) acquireMessages(ctx, work context.Context) error {
 	var l *takeover
 	var err error
 	if n.journal == nil {
@@ -275,16 +275,16 @@
 		}
 	}
 	if l != nil {
-		n.ln = l.listener
-		l.taken()
+		n.listener = l.listener
+		l.acknowledge()
 		n.adopt(work, l)
 		n.step(work)
-		n.listen(work) // the module takes the watch for begun
+		n.watchList(work) // the module takes the watch for begun
 		return nil
 	}
-	n.resume()
+	n.resumeFromJournal()
 	n.step(work) // what the journal holds comes first: its ends are due
-	if n.ln, err = listenShared(ctx, n.cfg.Listen); err != nil {
+	if n.listener, err = listenShared(ctx, n.cfg.ListenAddr); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	return nil
@@ -305,27 +305,27 @@
 	return lc.Listen(ctx, "tcp", addr)
 }
 
-// expectSuccessors lets new processes ask to take over, until work is over.
-func (n *Node) expectSuccessors(work context.Context) error {
+// listenForSuccessors lets new processes ask to take over, until work is over.
+func (n *Node) listenForSuccessors(work context.Context) error {
 	ln, err := listenHandover(n.cfg.StateDir)
 	if err != nil {
 		return err
 	}
-	go n.meet(work, ln)
+	go n.acceptSuccessors(work, ln)
 	return nil
 }
 
-// leave ends what stays here after a handover: requests that were half read, and operators that call this process
+// finishAfterHandover ends what stays here after a handover: requests that were half read, and operators that call this process
 // still.
-func (n *Node) leave(ctx context.Context) {
+func (n *Node) finishAfterHandover(ctx context.Context) {
 	n.close() // the lock is the successor's now
-	grace, end := context.WithTimeout(context.Background(), stopAll)
+	grace, end := context.WithTimeout(context.Background(), shutdownLoopTimeout)
 	defer end()
 	n.clients.shutdown(grace)
-	n.clients.countUnanswered()
+	n.clients.reportUnanswered()
 	select {
 	case <-ctx.Done():
-	case <-time.After(lingerAdmin):
+	case <-time.After(adminLingerTime):
 	}
 	n.log.Info("stopped after the handover")
 }
@@ -335,8 +335,8 @@
 	if n.journal != nil {
 		n.journal.Close()
 	}
-	if n.lock != nil {
-		n.lock.Close()
+	if n.lockFile != nil {
+		n.lockFile.Close()
 	}
 }
 
@@ -345,7 +345,7 @@
 	if n.admin == nil {
 		return func() {}, nil
 	}
-	ln, err := n.admin.listen(n.cfg.Operator)
+	ln, err := n.admin.listen(n.cfg.OperatorAddr)
 	if err != nil {
 		return nil, err
 	}
@@ -356,9 +356,9 @@
 	return func() { cancel(); <-closed }, nil
 }
 
-// admit tells operators that this process can serve, or why it cannot.
-func (n *Node) admit(err error) {
+// setReadiness tells operators that this process can serve, or why it cannot.
+func (n *Node) setReadiness(err error) {
 	if n.admin != nil {
-		n.admin.setReady(err)
+		n.admin.setReadiness(err)
 	}
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,8 +18,8 @@
 	"crossdeal/logic"
 )
 
-// owed lists what a stopped sender has left in its journal.
-func owed(t *testing.T, dir string) (ids []string) {
+// owedIDs lists what a stopped sender has left in its journal.
+func owedIDs(t *testing.T, dir string) (ids []string) {
 	t.Helper()
 	for _, e := range openJournal(t, dir, 3e6).Entries() {
 		ids = append(ids, e.ID)
@@ -27,39 +27,39 @@
 	return ids
 }
 
-// stopClean shuts a sender down and checks that it owes nothing.
-func stopClean(t *testing.T, n *testNode) {
+// stopWithNothingOwed shuts a sender down and checks that it owes nothing.
+func stopWithNothingOwed(t *testing.T, n *testNode) {
 	t.Helper()
 	n.stop()
 	if err := await(t, n.done, "end of the sender"); err != nil {
 		t.Fatal(err)
 	}
-	if ids := owed(t, n.cfg.StateDir); ids != nil {
+	if ids := owedIDs(t, n.cfg.StateDir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
 
-func TestDeliver(t *testing.T) {
-	n, c, _, e := world(t, 1)
+func TestMessageIsDeliveredUnchanged(t *testing.T) {
+	n, c, _, e := startNodeWithEndpoints(t, 1)
 	if got := c.do("PING"); got != "+PONG" {
 		t.Fatalf("PING: %q", got)
 	}
 	c.put("a", "keyed", "+OK")
 	in := await(t, e[0].calls, "call")
-	if in.body != "body of a" || in.id() != "a" || in.req.Header.Get("Idempotency-Key") != "key-a" {
-		t.Errorf("went out changed: %v %q", in.req.Header, in.body)
+	if in.body != "body of a" || in.id() != "a" || in.request.Header.Get("Idempotency-Key") != "key-a" {
+		t.Errorf("went out changed: %v %q", in.request.Header, in.body)
 	}
 	in.reply(200)
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 }
 
 // A client may hand an id in once more when its connection was closed: that is one message, held or delivered.
-func TestSameIDTwice(t *testing.T) {
-	n, c, _, e := world(t, 1)
+func TestSameIDTwiceIsOneMessage(t *testing.T) {
+	n, c, _, e := startNodeWithEndpoints(t, 1)
 	c.send("MSG.PUT", "0", "a", "c=safe,d=9000,dest=1", "x")
-	c2 := dial(t, n.addr)
+	c2 := dialClient(t, n.addr)
 	c2.put("a", "safe", "+OK")
-	if got := c.line(); got != "+OK" {
+	if got := c.readLine(); got != "+OK" {
 		t.Fatalf("got %q", got)
 	}
 	in := await(t, e[0].calls, "call")
@@ -72,24 +72,24 @@
 	} else {
 		in.reply(200)
 	}
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 }
 
 // What the module gives up is answered at once, with the time to come again.
-func TestGivenUpAtOnce(t *testing.T) {
-	n, c, p, e := world(t, 1)
-	c.putFor("late", "safe", 1, "-BUSY 2000")
+func TestMessageRefusedAtOnceGetsBusyAndNoNotice(t *testing.T) {
+	n, c, p, e := startNodeWithEndpoints(t, 1)
+	c.putWithTime("late", "safe", 1, "-BUSY 2000")
 	c.put("b", "safe", "+OK")
 	await(t, e[0].calls, "call").reply(200)
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 	if len(p.notices) != 0 {
 		t.Errorf("a notice for a message that was never taken on: %v", <-p.notices)
 	}
 }
 
 // The hold has a limit; what comes above it is turned away, and so is what the journal has no room for.
-func TestDoor(t *testing.T) {
-	p := newPlatform(t)
+func TestPutIsRejectedWhenNodeOrJournalIsFull(t *testing.T) {
+	p := newTestPlatform(t)
 	cfg, err := ParseConfig(configText(p, discovery.List{}))
 	if err != nil {
 		t.Fatal(err)
@@ -101,23 +101,23 @@
 	}
 	defer n.journal.Close()
 	answer := make(chan string, 1)
-	put := putEvent{Message{ID: "a", Class: "safe", Dest: 1, Body: make([]byte, 100)}, answer}
-	n.open = cfg.Deploy.Settings.MaxOpen
-	if n.put(put); await(t, answer, "answer") != "-BUSY\r\n" {
+	put := putEvent{Message{ID: "a", Class: "safe", Destination: 1, Body: make([]byte, 100)}, answer}
+	n.openMessages = cfg.Deployment.Settings.MaxOpen
+	if n.handlePut(put); await(t, answer, "answer") != "-BUSY\r\n" {
 		t.Error("taken on above max_open")
 	}
-	n.open = 0
+	n.openMessages = 0
 	n.journal.limit = 500
-	if n.put(put); await(t, answer, "answer") != "-BUSY\r\n" {
+	if n.handlePut(put); await(t, answer, "answer") != "-BUSY\r\n" {
 		t.Error("taken on without room in the journal")
 	}
 }
 
 // A message that can't be journalled is not taken on: it would be lost with the process. Nothing of it is sent,
 // and the module gets the outcome of what it wanted to send, or a slot would be lost for good.
-func TestJournalFails(t *testing.T) {
+func TestMessageIsNotAcceptedWhenJournalFails(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
-	n, c, _, e := world(t, 1, func(n *Node) {
+	n, c, _, e := startNodeWithEndpoints(t, 1, func(n *Node) {
 		bad, err := os.Open(n.journal.file.Name()) // can't be written
 		if err != nil {
 			t.Fatal(err)
@@ -128,7 +128,7 @@
 	for i := range 10 { // more than there are slots
 		c.put(fmt.Sprint("x", i), "safe", "-BUSY")
 	}
-	e[0].none(t)
+	e[0].expectNoCall(t)
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -138,12 +138,12 @@
 		t.Fatalf("call with %s, want a", in.id())
 	}
 	in.reply(200)
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 }
 
 // Told to wait, the sender sends nothing there, for any message, until the wait is over.
-func TestWaitIsHeeded(t *testing.T) {
-	n, c, _, e := world(t, 1)
+func TestNothingIsSentDuringRetryAfter(t *testing.T) {
+	n, c, _, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "safe", "+OK")
 	in := await(t, e[0].calls, "call")
 	const wait = 400 * time.Millisecond
@@ -152,20 +152,20 @@
 	c.put("b", "safe", "+OK")
 	for range 2 {
 		in := await(t, e[0].calls, "call")
-		if in.at.Sub(told) < wait {
+		if in.receivedAt.Sub(told) < wait {
 			// b may have gone before the answer was read; that is excused for 100 ms.
-			if in.at.Sub(told) > 100*time.Millisecond {
-				t.Errorf("%s was sent %v after a wait of %v was told", in.id(), in.at.Sub(told), wait)
+			if in.receivedAt.Sub(told) > 100*time.Millisecond {
+				t.Errorf("%s was sent %v after a wait of %v was told", in.id(), in.receivedAt.Sub(told), wait)
 			}
 		}
 		in.reply(200)
 	}
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 }
 
 // Refusals prove that nothing ran: also an unsafe message is sent again, and returned once its attempts are used up.
-func TestNeverRan(t *testing.T) {
-	n, c, p, e := world(t, 1)
+func TestUnsafeMessageIsRetriedAfterRefusals(t *testing.T) {
+	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("full", "unsafe", "+OK")
 	await(t, e[0].calls, "call").reply(503)
 	await(t, e[0].calls, "second call").reply(200)
@@ -182,28 +182,28 @@
 			t.Errorf("notice %+v", x)
 		}
 	}
-	stopClean(t, n)
-	e[0].none(t)
+	stopWithNothingOwed(t, n)
+	e[0].expectNoCall(t)
 }
 
 // The endpoint says that the message is over: nothing is owed, not even a notice.
-func TestOver(t *testing.T) {
-	n, c, p, e := world(t, 1)
+func TestGoneStatusEndsMessageWithoutNotice(t *testing.T) {
+	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "unsafe", "+OK")
 	await(t, e[0].calls, "call").reply(410)
-	stopClean(t, n)
-	e[0].none(t)
+	stopWithNothingOwed(t, n)
+	e[0].expectNoCall(t)
 	if len(p.notices) != 0 {
 		t.Errorf("notice %+v", <-p.notices)
 	}
 }
 
 // After an error or a reset it may have run: an unsafe message fails, others are sent again.
-func TestMayHaveRun(t *testing.T) {
+func TestUnsafeMessageFailsAndOthersAreRetriedAfterErrorOrReset(t *testing.T) {
 	for _, how := range []string{"500", "reset"} {
 		t.Run(how, func(t *testing.T) {
-			n, c, p, e := world(t, 1)
-			end := func(in *inCall) {
+			n, c, p, e := startNodeWithEndpoints(t, 1)
+			end := func(in *receivedCall) {
 				if how == "500" {
 					in.reply(500)
 				} else {
@@ -218,40 +218,40 @@
 			c.put("k", "keyed", "+OK")
 			end(await(t, e[0].calls, "call"))
 			in := await(t, e[0].calls, "call again")
-			if in.id() != "k" || in.req.Header.Get("Idempotency-Key") != "key-k" {
-				t.Errorf("call with %v", in.req.Header)
+			if in.id() != "k" || in.request.Header.Get("Idempotency-Key") != "key-k" {
+				t.Errorf("call with %v", in.request.Header)
 			}
 			in.reply(200)
-			stopClean(t, n)
-			e[0].none(t)
+			stopWithNothingOwed(t, n)
+			e[0].expectNoCall(t)
 		})
 	}
 }
 
 // An endpoint that answers nothing: an unsafe message fails when its time is up, and the call is ended.
-func TestSilentUntilDeadline(t *testing.T) {
-	n, c, p, e := world(t, 1)
-	c.putFor("u", "unsafe", 300, "+OK")
+func TestUnsafeMessageFailsAtDeadlineOnUnresponsiveEndpoint(t *testing.T) {
+	n, c, p, e := startNodeWithEndpoints(t, 1)
+	c.putWithTime("u", "unsafe", 300, "+OK")
 	in := await(t, e[0].calls, "call")
 	if x := await(t, p.notices, "notice"); x != (Notice{ID: "u", State: "failed"}) {
 		t.Errorf("notice %+v", x)
 	}
-	in.awaitEnd(t)
-	stopClean(t, n)
+	in.awaitClose(t)
+	stopWithNothingOwed(t, n)
 }
 
 // A safe message is called off at an endpoint that hangs and goes to another; the first call must have ended for
 // the endpoint before the second begins, or there are two copies.
-func TestSilentGoesElsewhere(t *testing.T) {
-	n, c, _, e := world(t, 2)
+func TestSafeMessageMovesFromUnresponsiveEndpoint(t *testing.T) {
+	n, c, _, e := startNodeWithEndpoints(t, 2)
 	c.put("s", "safe", "+OK")
-	var first, second *inCall
+	var first, second *receivedCall
 	next := e[1]
 	select {
 	case first = <-e[0].calls:
 	case first = <-e[1].calls:
 		next = e[0]
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no call")
 	}
 	second = await(t, next.calls, "call elsewhere")
@@ -260,113 +260,113 @@
 		t.Errorf("the first call is still open: %v", err)
 	}
 	second.reply(200)
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 }
 
-// taken waits until the sender has the list of a generation: it asks from there on.
-func taken(t *testing.T, p *platform, generation int) {
+// awaitListRequestFrom waits until the sender has the list of a generation: it asks from there on.
+func awaitListRequestFrom(t *testing.T, p *testPlatform, generation int) {
 	t.Helper()
-	for !strings.HasPrefix(await(t, p.asked, "call for the list"), fmt.Sprintf("from=%d&", generation)) {
+	for !strings.HasPrefix(await(t, p.listRequests, "call for the list"), fmt.Sprintf("from=%d&", generation)) {
 	}
 }
 
 // Nothing new goes to an endpoint that drains; an address may change under the same name.
-func TestDrainAndMove(t *testing.T) {
-	n, c, p, e := world(t, 2)
-	list := instances(e...)
+func TestDrainingEndpointGetsNothingAndAddressMayChange(t *testing.T) {
+	n, c, p, e := startNodeWithEndpoints(t, 2)
+	list := instancesOf(e...)
 	list[0].Lifecycle = "draining"
-	p.set(func() { p.list = discovery.List{Generation: 2, Instances: list[:1]} })
-	taken(t, p, 2)
+	p.update(func() { p.list = discovery.List{Generation: 2, Instances: list[:1]} })
+	awaitListRequestFrom(t, p, 2)
 	for i := range 4 {
 		c.put(fmt.Sprint("m", i), "safe", "+OK")
 		await(t, e[1].calls, "call").reply(200)
 	}
-	e[0].none(t)
-	moved := newEndpoint(t)
+	e[0].expectNoCall(t)
+	moved := newTestEndpoint(t)
 	list[1].HostPort = moved.addr()
-	p.set(func() { p.list = discovery.List{Generation: 3, Instances: list[1:]} })
-	taken(t, p, 3)
+	p.update(func() { p.list = discovery.List{Generation: 3, Instances: list[1:]} })
+	awaitListRequestFrom(t, p, 3)
 	c.put("m", "safe", "+OK")
 	await(t, moved.calls, "call").reply(200)
-	stopClean(t, n)
-	e[1].none(t)
+	stopWithNothingOwed(t, n)
+	e[1].expectNoCall(t)
 }
 
 // Where the list is pushed the module does not ask for it: the sender hears of changes all the same.
-func TestPushedList(t *testing.T) {
-	p := newPlatform(t)
-	e := []*endpoint{newEndpoint(t), newEndpoint(t)}
-	known := discovery.List{Generation: 1, Reset: true, Instances: instances(e...)}
+func TestPushedListChangesAreApplied(t *testing.T) {
+	p := newTestPlatform(t)
+	e := []*testEndpoint{newTestEndpoint(t), newTestEndpoint(t)}
+	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e...)}
 	p.list = known
 	text := strings.Replace(string(configText(p, known)), `"on_request"`, `"push"`, 1)
 	cfg, err := ParseConfig([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.Deploy.Settings.ListOnRequest {
+	if cfg.Deployment.Settings.ListOnRequest {
 		t.Fatal("the list is not pushed in this configuration")
 	}
-	n := startConfig(t, cfg, t.TempDir())
-	taken(t, p, 1)
-	list := instances(e...)
+	n := startNodeWithConfig(t, cfg, t.TempDir())
+	awaitListRequestFrom(t, p, 1)
+	list := instancesOf(e...)
 	list[0].Lifecycle = "draining"
-	p.set(func() { p.list = discovery.List{Generation: 2, Instances: list[:1]} })
-	taken(t, p, 2)
-	c := dial(t, n.addr)
+	p.update(func() { p.list = discovery.List{Generation: 2, Instances: list[:1]} })
+	awaitListRequestFrom(t, p, 2)
+	c := dialClient(t, n.addr)
 	for i := range 4 {
 		c.put(fmt.Sprint("m", i), "safe", "+OK")
 		await(t, e[1].calls, "call").reply(200)
 	}
-	e[0].none(t)
-	stopClean(t, n)
+	e[0].expectNoCall(t)
+	stopWithNothingOwed(t, n)
 }
 
 // While discovery is down the last list serves, and the sender asks again until it hears.
-func TestDiscoveryDown(t *testing.T) {
-	p := newPlatform(t)
+func TestLastListServesWhileDiscoveryIsDown(t *testing.T) {
+	p := newTestPlatform(t)
 	p.down = true
-	e := newEndpoint(t)
-	n := startNode(t, p, t.TempDir(), discovery.List{Generation: 1, Reset: true, Instances: instances(e)})
-	c := dial(t, n.addr)
+	e := newTestEndpoint(t)
+	n := startNode(t, p, t.TempDir(), discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)})
+	c := dialClient(t, n.addr)
 	c.put("a", "safe", "+OK")
 	await(t, e.calls, "call").reply(200)
-	taken(t, p, 1)
-	taken(t, p, 1)
-	moved := newEndpoint(t)
-	p.set(func() {
-		p.down, p.list = false, discovery.List{Generation: 2, Reset: true, Instances: instances(moved)}
+	awaitListRequestFrom(t, p, 1)
+	awaitListRequestFrom(t, p, 1)
+	moved := newTestEndpoint(t)
+	p.update(func() {
+		p.down, p.list = false, discovery.List{Generation: 2, Reset: true, Instances: instancesOf(moved)}
 	})
-	taken(t, p, 2)
+	awaitListRequestFrom(t, p, 2)
 	c.put("b", "safe", "+OK")
 	await(t, moved.calls, "call").reply(200)
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 }
 
 // A list that breaks off counts for nothing: the last whole one serves, and the sender asks again.
-func TestListCutShort(t *testing.T) {
-	p := newPlatform(t)
-	e, moved := newEndpoint(t), newEndpoint(t)
-	p.cut, p.list = true, discovery.List{Generation: 2, Reset: true, Instances: instances(moved, moved)}
-	n := startNode(t, p, t.TempDir(), discovery.List{Generation: 1, Reset: true, Instances: instances(e)})
-	c := dial(t, n.addr)
-	await(t, p.asked, "call for the list")
-	await(t, p.asked, "second call for the list")
+func TestTruncatedListIsIgnored(t *testing.T) {
+	p := newTestPlatform(t)
+	e, moved := newTestEndpoint(t), newTestEndpoint(t)
+	p.truncateLists, p.list = true, discovery.List{Generation: 2, Reset: true, Instances: instancesOf(moved, moved)}
+	n := startNode(t, p, t.TempDir(), discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)})
+	c := dialClient(t, n.addr)
+	await(t, p.listRequests, "call for the list")
+	await(t, p.listRequests, "second call for the list")
 	c.put("a", "safe", "+OK")
 	await(t, e.calls, "call").reply(200)
-	p.set(func() { p.cut = false })
-	taken(t, p, 2)
+	p.update(func() { p.truncateLists = false })
+	awaitListRequestFrom(t, p, 2)
 	c.put("b", "safe", "+OK")
 	await(t, moved.calls, "call").reply(200)
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 }
 
 // What is missing or makes no sense in the configuration, or was torn in the journal, gets a line in the log, and the
 // sender serves all the same. Without a seed each start draws one of its own: senders must not act in step.
-func TestNonsenseInConfiguration(t *testing.T) {
-	p := newPlatform(t)
-	e := newEndpoint(t)
-	p.list = discovery.List{Generation: 2, Reset: true, Instances: instances(e)}
-	whole := string(configText(p, discovery.List{Generation: 1, Reset: true, Instances: instances(e)}))
+func TestInvalidConfigurationIsLoggedAndNodeServes(t *testing.T) {
+	p := newTestPlatform(t)
+	e := newTestEndpoint(t)
+	p.list = discovery.List{Generation: 2, Reset: true, Instances: instancesOf(e)}
+	whole := string(configText(p, discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}))
 	seeds := map[uint64]bool{}
 	for _, x := range []struct{ old, with, line string }{
 		{`"balancers":1`, `"balancers":0`, "Senders of 0"}, {`"balancers":1`, `"balancers":"eighty"`, "balancers"},
@@ -396,7 +396,7 @@
 			seeds[cfg.Seed] = true
 		}
 		dir, log := t.TempDir(), new(bytes.Buffer)
-		if err := os.WriteFile(filepath.Join(dir, journalName), []byte("no records"), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, journalFileName), []byte("no records"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		cfg.StateDir = dir
@@ -409,42 +409,42 @@
 		if !strings.Contains(log.String(), x.line) {
 			t.Errorf("%s: the log has no word of %q:\n%s", x.with, x.line, log)
 		}
-		sender := startConfig(t, cfg, t.TempDir())
-		dial(t, sender.addr).put("a", "safe", "+OK")
+		sender := startNodeWithConfig(t, cfg, t.TempDir())
+		dialClient(t, sender.addr).put("a", "safe", "+OK")
 		await(t, e.calls, "call").reply(200)
-		stopClean(t, sender)
+		stopWithNothingOwed(t, sender)
 	}
 }
 
-func TestDiscoverySilent(t *testing.T) {
-	p := newPlatform(t)
-	p.silent = true
-	e := newEndpoint(t)
-	n := startNode(t, p, t.TempDir(), discovery.List{Generation: 1, Reset: true, Instances: instances(e)})
-	await(t, p.asked, "call for the list")
-	dial(t, n.addr).put("a", "safe", "+OK")
+func TestNodeServesWhileDiscoveryIsUnresponsive(t *testing.T) {
+	p := newTestPlatform(t)
+	p.unresponsive = true
+	e := newTestEndpoint(t)
+	n := startNode(t, p, t.TempDir(), discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)})
+	await(t, p.listRequests, "call for the list")
+	dialClient(t, n.addr).put("a", "safe", "+OK")
 	await(t, e.calls, "call").reply(200)
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 }
 
 // A notice counts once the platform has confirmed it, and is sent until then.
-func TestNoticesDown(t *testing.T) {
-	n, c, p, e := world(t, 1)
-	p.set(func() { p.deaf = true })
+func TestNoticeIsSentUntilConfirmed(t *testing.T) {
+	n, c, p, e := startNodeWithEndpoints(t, 1)
+	p.update(func() { p.rejectNotices = true })
 	c.put("u", "unsafe", "+OK")
 	await(t, e[0].calls, "call").reply(500)
-	await(t, p.refused, "notice")
-	await(t, p.refused, "second notice")
-	p.set(func() { p.deaf = false })
+	await(t, p.rejectedNotices, "notice")
+	await(t, p.rejectedNotices, "second notice")
+	p.update(func() { p.rejectNotices = false })
 	if x := await(t, p.notices, "notice"); x.ID != "u" || x.State != "failed" {
 		t.Errorf("notice %+v", x)
 	}
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 }
 
 // Whatever a client sends, it gets an error line and nobody else is hurt.
 func TestMalformedRequests(t *testing.T) {
-	n, c, _, e := world(t, 1)
+	n, c, _, e := startNodeWithEndpoints(t, 1)
 	const good = "c=safe,t=acme,d=9000,dest=1"
 	for _, args := range [][]string{
 		{"NONSENSE"}, {""}, {"MSG.PUT"}, {"MSG.PUT", "0", "a", good}, {"MSG.PUT", "0", "", good, "x"},
@@ -465,16 +465,16 @@
 		t.Errorf("afterwards: %q", got)
 	}
 	for _, raw := range []string{"*1\r\n$9223372036854775807\r\n", "*1000000000\r\n", "GET / HTTP/1.1\r\n\r\n", "*1\r\n$65537\r\n"} {
-		bad := dial(t, n.addr)
+		bad := dialClient(t, n.addr)
 		bad.conn.Write([]byte(raw))
-		if got := bad.line(); !strings.HasPrefix(got, "-ERR ") {
+		if got := bad.readLine(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%q: got %q", raw, got)
 		}
-		if got := bad.line(); got != "" {
+		if got := bad.readLine(); got != "" {
 			t.Errorf("%q: the connection goes on with %q", raw, got)
 		}
 	}
-	half := dial(t, n.addr)
+	half := dialClient(t, n.addr)
 	half.conn.Write([]byte("*5\r\n$7\r\nMSG"))
 	half.conn.Close()
 	body := strings.Repeat("\x00\r\n", 1<<14) // bodies hold any bytes
@@ -486,51 +486,51 @@
 		t.Errorf("body went out changed: %d bytes of %d", len(in.body), len(body))
 	}
 	in.reply(200)
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 }
 
 // Peers that say nothing, or never finish, are closed, and shut nobody out while they last.
-func TestSilentPeersLeaveRoom(t *testing.T) {
-	n, c, _, e := world(t, 1, func(n *Node) { n.clients.most = 4 })
+func TestSilentClientsDoNotKeepOthersOut(t *testing.T) {
+	n, c, _, e := startNodeWithEndpoints(t, 1, func(n *Node) { n.clients.maxConns = 4 })
 	c.put("a", "safe", "+OK")
 	await(t, e[0].calls, "call").reply(200)
-	silent, half := dial(t, n.addr), dial(t, n.addr)
+	silent, half := dialClient(t, n.addr), dialClient(t, n.addr)
 	half.conn.Write([]byte("*5\r\n$7\r\nMSG"))
 	if got := c.do("PING"); got != "+PONG" { // by now both are in the table or come to it before the next
 		t.Fatalf("got %q", got)
 	}
 	for i := range 8 {
-		dial(t, n.addr)
-		x := dial(t, n.addr)
+		dialClient(t, n.addr)
+		x := dialClient(t, n.addr)
 		x.put(fmt.Sprint("m", i), "safe", "+OK")
 		await(t, e[0].calls, "call").reply(200)
 		x.conn.Close()
 	}
-	if got := silent.line(); got != "" {
+	if got := silent.readLine(); got != "" {
 		t.Errorf("a silent peer got %q", got)
 	}
-	if got := half.line(); got != "" && !strings.HasPrefix(got, "-ERR ") {
+	if got := half.readLine(); got != "" && !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("a peer with half a request got %q", got)
 	}
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 }
 
 // A request that came just before the sender closes its connections is answered: its client counts on that.
-func TestRequestCrossesShutdown(t *testing.T) {
+func TestRequestBeforeCloseIsAnsweredAtShutdown(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	c := dial(t, ln.Addr().String())
+	c := dialClient(t, ln.Addr().String())
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	c.send("PING")
-	for stop := time.Now().Add(patience); ; {
-		if _, data := peek(conn); data {
+	for stop := time.Now().Add(testTimeout); ; {
+		if _, data := peekConn(conn); data {
 			break
 		}
 		if time.Now().After(stop) {
@@ -541,26 +541,26 @@
 	x := newClientConn(served, conn, time.Time{})
 	served.closing, served.conns[conn] = true, x
 	conn.SetReadDeadline(time.Now())
-	x.run(time.Now().Add(requestTime))
-	if got := c.line(); got != "+PONG" {
+	x.serve(time.Now().Add(requestReadTimeout))
+	if got := c.readLine(); got != "+PONG" {
 		t.Errorf("got %q", got)
 	}
-	if got := c.line(); got != "" {
+	if got := c.readLine(); got != "" {
 		t.Errorf("the connection goes on with %q", got)
 	}
 }
 
 // A request of which a part had come when the sender was told to stop is read to its end and answered.
-func TestHalfRequestCrossesShutdown(t *testing.T) {
+func TestPartialRequestIsReadAndAnsweredAtShutdown(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	served := newClients(&Config{}, slog.New(slog.DiscardHandler), nil)
 	go served.serve(ln)
-	c := dial(t, ln.Addr().String())
+	c := dialClient(t, ln.Addr().String())
 	io.WriteString(c.conn, "*1\r\n$4\r\n")
-	for stop := time.Now().Add(patience); ; {
+	for stop := time.Now().Add(testTimeout); ; {
 		served.mu.Lock()
 		begun := false
 		for _, x := range served.conns {
@@ -580,76 +580,76 @@
 	for !served.isClosing() {
 	}
 	io.WriteString(c.conn, "PING\r\n")
-	if got := c.line(); got != "+PONG" {
+	if got := c.readLine(); got != "+PONG" {
 		t.Errorf("got %q", got)
 	}
-	if got := c.line(); got != "" {
+	if got := c.readLine(); got != "" {
 		t.Errorf("the connection goes on with %q", got)
 	}
 	await(t, done, "end of the shutdown")
 }
 
 // A probe that is asked for has its one result.
-func TestProbe(t *testing.T) {
-	n, _, _, e := world(t, 1)
+func TestProbeRequestsAlivePath(t *testing.T) {
+	n, _, _, e := startNodeWithEndpoints(t, 1)
 	n.probe(t.Context(), 1)
 	in := await(t, e[0].calls, "probe")
-	if in.req.URL.Path != "/alive" || in.req.Method != "GET" {
-		t.Errorf("probe %s %s", in.req.Method, in.req.URL)
+	if in.request.URL.Path != "/alive" || in.request.Method != "GET" {
+		t.Errorf("probe %s %s", in.request.Method, in.request.URL)
 	}
 	in.reply(200)
-	stopClean(t, n)
+	stopWithNothingOwed(t, n)
 }
 
 // A wait or a drain holds the calls that still connect there, and no others.
-func TestHoldReachesConnectingCalls(t *testing.T) {
+func TestWaitOrDrainWithholdsOnlyConnectingCalls(t *testing.T) {
 	for _, x := range []struct {
 		name  string
 		apart bool
 		learn func(n *Node)
 		held  [4]bool // connecting to endpoints 1 and 2 of destination 1 and 3 of destination 2; written to 1
 	}{
-		{"wait, one limit", false, func(n *Node) { n.holdWait(1) }, [4]bool{true, true, false, false}},
-		{"wait, routes apart", true, func(n *Node) { n.holdWait(1) }, [4]bool{true, false, false, false}},
+		{"wait, one limit", false, func(n *Node) { n.withholdCallsForWait(1) }, [4]bool{true, true, false, false}},
+		{"wait, routes apart", true, func(n *Node) { n.withholdCallsForWait(1) }, [4]bool{true, false, false, false}},
 		{"drain", false, func(n *Node) {
-			learn(n, discovery.List{Instances: []discovery.Instance{{ID: "b", Dest: 1, Lifecycle: "draining"}}})
+			applyList(n, discovery.List{Instances: []discovery.Instance{{ID: "b", Dest: 1, Lifecycle: "draining"}}})
 		}, [4]bool{false, true, false, false}},
 		{"whole list", false, func(n *Node) {
-			learn(n, discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "a", Dest: 1, Lifecycle: "up"}}})
+			applyList(n, discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "a", Dest: 1, Lifecycle: "up"}}})
 		}, [4]bool{false, true, true, false}},
 		{"another address", false, func(n *Node) {
-			learn(n, discovery.List{Instances: []discovery.Instance{{ID: "b", HostPort: "h:9", Dest: 1, Lifecycle: "up"}}})
+			applyList(n, discovery.List{Instances: []discovery.Instance{{ID: "b", HostPort: "h:9", Dest: 1, Lifecycle: "up"}}})
 		}, [4]bool{false, true, false, false}},
 		{"another destination", false, func(n *Node) {
-			learn(n, discovery.List{Instances: []discovery.Instance{{ID: "c", HostPort: "h:3", Dest: 1, Lifecycle: "up"}}})
+			applyList(n, discovery.List{Instances: []discovery.Instance{{ID: "c", HostPort: "h:3", Dest: 1, Lifecycle: "up"}}})
 		}, [4]bool{false, false, true, false}},
 		{"as before", false, func(n *Node) {
-			learn(n, discovery.List{Instances: []discovery.Instance{{ID: "c", HostPort: "h:3", Dest: 2, Lifecycle: "up"}}})
+			applyList(n, discovery.List{Instances: []discovery.Instance{{ID: "c", HostPort: "h:3", Dest: 2, Lifecycle: "up"}}})
 		}, [4]bool{false, false, false, false}},
 	} {
-		cfg, err := ParseConfig(configText(newPlatform(t), discovery.List{}))
+		cfg, err := ParseConfig(configText(newTestPlatform(t), discovery.List{}))
 		if err != nil {
 			t.Fatal(err)
 		}
 		cfg.StateDir = t.TempDir()
-		cfg.Deploy.Settings.Kinds[0].SeparateRoutes = x.apart
+		cfg.Deployment.Settings.Kinds[0].SeparateRoutes = x.apart
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer n.journal.Close()
-		learn(n, discovery.List{Instances: []discovery.Instance{{ID: "a", HostPort: "h:1", Kind: "std", Dest: 1},
+		applyList(n, discovery.List{Instances: []discovery.Instance{{ID: "a", HostPort: "h:1", Kind: "std", Dest: 1},
 			{ID: "b", HostPort: "h:2", Kind: "std", Dest: 1}, {ID: "c", HostPort: "h:3", Kind: "std", Dest: 2}}})
 		var calls []*call
 		for i, ep := range []logic.EndpointID{1, 2, 3, 1} {
 			to := n.target(ep)
-			calls = append(calls, &call{ep: ep, addr: to.Addr, dest: to.Dest, state: new(atomic.Int32)})
-			n.held[fmt.Sprint("m", i)] = &held{call: calls[i], stop: func(error) {}}
+			calls = append(calls, &call{endpoint: ep, addr: to.Addr, destination: to.Dest, state: new(atomic.Int32)})
+			n.held[fmt.Sprint("m", i)] = &heldMessage{call: calls[i], cancelCall: func(error) {}}
 		}
 		calls[3].state.Store(callWritten)
 		x.learn(n)
 		for i, c := range calls {
-			if got := c.state.Load() == callHeld; got != x.held[i] {
+			if got := c.state.Load() == callWithheld; got != x.held[i] {
 				t.Errorf("%s: call %d held: %v", x.name, i, got)
 			}
 		}
@@ -667,8 +667,8 @@
 }
 
 // The module hears the load that an answer reports, each field in its place; what makes no sense is left out.
-func TestLoadReports(t *testing.T) {
-	p := newPlatform(t)
+func TestLoadReportIsParsedFromAnswer(t *testing.T) {
+	p := newTestPlatform(t)
 	text := strings.Replace(string(configText(p, discovery.List{})), `{"how":"off","names":[]}`, `{"how":"answers","names":["x0","x1"]}`, 1)
 	cfg, err := ParseConfig([]byte(text))
 	if err != nil {
@@ -687,18 +687,18 @@
 		{"x0=0.4,x1=25", []float64{0.4, 25}}, {"x1=25, x0=0.4", []float64{0.4, 25}}, {"x1=7", []float64{0, 7}},
 		{"", nil}, {"x1=NaN,x0=-1,y=3,x2", nil},
 	} {
-		h := &held{msg: &Message{ID: "a"}}
-		n.held["a"], n.next = h, nil
-		n.reply(replyEvent{call: &call{id: "a", ep: 1}, result: result{outcome: logic.Errored, report: x.report}})
-		if got := n.next[0].(logic.AttemptResult).Load; !slices.Equal(got, x.want) {
+		h := &heldMessage{message: &Message{ID: "a"}}
+		n.held["a"], n.nextEvents = h, nil
+		n.handleReply(replyEvent{call: &call{id: "a", endpoint: 1}, result: callResult{outcome: logic.Errored, loadReport: x.report}})
+		if got := n.nextEvents[0].(logic.AttemptResult).Load; !slices.Equal(got, x.want) {
 			t.Errorf("%q: load %v, want %v", x.report, got, x.want)
 		}
 	}
 	// And it comes all the way from the wire.
-	e := newEndpoint(t)
-	got := goDo(t.Context(), testCaller(), newCall(t, e.addr(), "x", patience))
+	e := newTestEndpoint(t)
+	got := doInBackground(t.Context(), newTestTransport(), newTestCall(t, e.addr(), "x", testTimeout))
 	await(t, e.calls, "call").reply(503, "Endpoint-Load-Metrics: x0=0,x1=3")
-	if r := await(t, got, "result"); r.report != "x0=0,x1=3" {
-		t.Errorf("report %q", r.report)
+	if r := await(t, got, "result"); r.loadReport != "x0=0,x1=3" {
+		t.Errorf("report %q", r.loadReport)
 	}
 }
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	noticeBatch = 256                    // notices in one request at most
-	noticeFirst = 150 * time.Millisecond // for the platform's answer, which comes at once; a silent connection shows soon ...
-	noticeTime  = time.Second            // ... but a platform that is slow is given more, up to this
-	noticePause = 50 * time.Millisecond  // first pause after a request that failed
-	noticeMost  = 400 * time.Millisecond // and the longest: an end is owed soon after a message's time is up
+	maxNoticesPerRequest = 256                    // notices in one request at most
+	noticeMinTimeout     = 150 * time.Millisecond // for the platform's answer, which comes at once; a silent connection shows soon ...
+	noticeMaxTimeout     = time.Second            // ... but a platform that is slow is given more, up to this
+	noticeMinRetryDelay  = 50 * time.Millisecond  // first pause after a request that failed
+	noticeMaxRetryDelay  = 400 * time.Millisecond // and the longest: an end is owed soon after a message's time is up
 )
 
-// noticedEvent says that the platform has confirmed the ends of these messages.
-type noticedEvent struct{ ids []string }
+// noticesConfirmedEvent says that the platform has confirmed the ends of these messages.
+type noticesConfirmedEvent struct{ ids []string }
 
-// notices tells the platform how messages ended. The journal owes each notice until it is confirmed, so the queue
+// noticeQueue tells the platform how messages ended. The journal owes each notice until it is confirmed, so the queue
 // holds no more than the journal has room for, and what is still in it when the process ends goes out at the next
 // start. A notice that goes out twice does no harm.
-type notices struct {
+type noticeQueue struct {
 	client *http.Client
 	log    *slog.Logger
 	events chan<- any
@@ -37,23 +37,23 @@
 	queue  []Notice
 }
 
-func newNotices(addr string, log *slog.Logger, events chan<- any) *notices {
-	return &notices{url: outcomesURL(addr), log: log, events: events, wake: make(chan struct{}, 1),
-		client: &http.Client{Timeout: noticeTime, Transport: &http.Transport{
-			DialContext: (&net.Dialer{Timeout: noticeTime}).DialContext, MaxConnsPerHost: 1, IdleConnTimeout: 30 * time.Second}}}
+func newNoticeQueue(addr string, log *slog.Logger, events chan<- any) *noticeQueue {
+	return &noticeQueue{url: outcomesURL(addr), log: log, events: events, wake: make(chan struct{}, 1),
+		client: &http.Client{Timeout: noticeMaxTimeout, Transport: &http.Transport{
+			DialContext: (&net.Dialer{Timeout: noticeMaxTimeout}).DialContext, MaxConnsPerHost: 1, IdleConnTimeout: 30 * time.Second}}}
 }
 
 func outcomesURL(addr string) string { return "http://" + addr + "/v1/outcomes" }
 
-// move takes another address from the next request on. One under way to the old one ends as it may.
-func (n *notices) move(addr string) {
+// setAddr takes another address from the next request on. One under way to the old one ends as it may.
+func (n *noticeQueue) setAddr(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.url = outcomesURL(addr)
 }
 
 // add queues a notice. It never waits.
-func (n *notices) add(x Notice) {
+func (n *noticeQueue) add(x Notice) {
 	n.mu.Lock()
 	n.queue = append(n.queue, x)
 	n.mu.Unlock()
@@ -64,10 +64,10 @@
 }
 
 // run sends what is queued, oldest first, until ctx is over. Only run takes notices off the queue.
-func (n *notices) run(ctx context.Context) {
-	pause, limit := noticePause, noticeFirst
+func (n *noticeQueue) run(ctx context.Context) {
+	pause, limit := noticeMinRetryDelay, noticeMinTimeout
 	for {
-		url, batch := n.next()
+		url, batch := n.nextBatch()
 		if len(batch) == 0 {
 			select {
 			case <-ctx.Done():
@@ -80,43 +80,43 @@
 			if ctx.Err() != nil {
 				return
 			}
-			n.log.Warn("notices", "err", err, "owed", n.owed())
+			n.log.Warn("notices", "err", err, "owed", n.pending())
 			select {
 			case <-ctx.Done():
 				return
 			case <-time.After(pause):
 			}
-			pause, limit = min(2*pause, noticeMost), min(2*limit, noticeTime)
+			pause, limit = min(2*pause, noticeMaxRetryDelay), min(2*limit, noticeMaxTimeout)
 			continue
 		}
-		pause, limit = noticePause, noticeFirst
+		pause, limit = noticeMinRetryDelay, noticeMinTimeout
 		ids := make([]string, len(batch))
 		for i, x := range batch {
 			ids[i] = x.ID
 		}
-		n.drop(len(batch))
+		n.removeFirst(len(batch))
 		select {
-		case n.events <- noticedEvent{ids}:
+		case n.events <- noticesConfirmedEvent{ids}:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// next copies the oldest notices, which stay queued until they are confirmed.
-func (n *notices) next() (string, []Notice) {
+// nextBatch copies the oldest notices, which stay queued until they are confirmed.
+func (n *noticeQueue) nextBatch() (string, []Notice) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.url, append([]Notice(nil), n.queue[:min(len(n.queue), noticeBatch)]...)
+	return n.url, append([]Notice(nil), n.queue[:min(len(n.queue), maxNoticesPerRequest)]...)
 }
 
-func (n *notices) owed() int {
+func (n *noticeQueue) pending() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.queue)
 }
 
-func (n *notices) drop(count int) {
+func (n *noticeQueue) removeFirst(count int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.queue = n.queue[count:]; len(n.queue) == 0 {
@@ -124,7 +124,7 @@
 	}
 }
 
-func (n *notices) post(ctx context.Context, url string, batch []Notice, limit time.Duration) error {
+func (n *noticeQueue) post(ctx context.Context, url string, batch []Notice, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	var body bytes.Buffer
@@ -145,7 +145,7 @@
 	}
 	defer resp.Body.Close()
 	// The rest of the answer is read so that the connection can serve again; what it says does not matter.
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswer))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes))
 	if resp.StatusCode != http.StatusNoContent {
 		return fmt.Errorf("the platform answered %s", resp.Status)
 	}
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -12,7 +12,7 @@
 
 // A connection to the platform may fall silent with a notice on it. The end of a message is owed 0.3 s after its time,
 // so the notice is sent again, on another connection, well before; the next such silence is given more time.
-func TestNoticeUnanswered(t *testing.T) {
+func TestUnansweredNoticeIsSentAgain(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -43,22 +43,22 @@
 		}
 	}()
 	events := make(chan any, 8)
-	n := newNotices(ln.Addr().String(), slog.New(slog.DiscardHandler), events)
+	n := newNoticeQueue(ln.Addr().String(), slog.New(slog.DiscardHandler), events)
 	go n.run(t.Context())
 	n.add(Notice{ID: "a", State: "failed"})
 	first := await(t, came, "notice")
 	answer <- false
 	second := await(t, came, "notice again")
-	if gap := second.Sub(first); gap > noticeTime {
+	if gap := second.Sub(first); gap > noticeMaxTimeout {
 		t.Errorf("again after %v, the end of the message is owed sooner", gap)
 	}
 	answer <- false
 	third := await(t, came, "third notice")
-	if gap := third.Sub(second); gap < 2*noticeFirst {
+	if gap := third.Sub(second); gap < 2*noticeMinTimeout {
 		t.Errorf("a platform that is slow is given no more time: %v", gap)
 	}
 	answer <- true
-	if ev := await(t, events, "confirmation").(noticedEvent); len(ev.ids) != 1 || ev.ids[0] != "a" {
+	if ev := await(t, events, "confirmation").(noticesConfirmedEvent); len(ev.ids) != 1 || ev.ids[0] != "a" {
 		t.Errorf("confirmed %v", ev.ids)
 	}
 	n.add(Notice{ID: "b", State: "failed"})
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -15,8 +15,8 @@
 	"crossdeal/internal/discovery"
 )
 
-// program is built once for all tests.
-var program = sync.OnceValues(func() (string, error) {
+// buildProgram is built once for all tests.
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "cometrack")
 	if err != nil {
 		return "", err
@@ -29,7 +29,7 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if path, err := program(); err == nil {
+	if path, err := buildProgram(); err == nil {
 		os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
@@ -37,48 +37,48 @@
 
 // process is the real program.
 type process struct {
-	t      *testing.T
-	cmd    *exec.Cmd
-	addr   string
-	admin  string // operators' address
-	config string // path
-	done   chan error
-	mu     sync.Mutex
-	bad    []string // lines of its log that say that a rule was broken
+	t          *testing.T
+	cmd        *exec.Cmd
+	addr       string
+	adminAddr  string // operators' address
+	configPath string // path
+	done       chan error
+	mu         sync.Mutex
+	violations []string // lines of its log that say that a rule was broken
 }
 
-// broken lists what the process has logged of broken rules.
-func (x *process) broken() []string {
+// violationLines lists what the process has logged of broken rules.
+func (x *process) violationLines() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return slices.Clone(x.bad)
+	return slices.Clone(x.violations)
 }
 
 // startProcess starts it with what the platform would tell it and waits until it is ready.
-func startProcess(t *testing.T, p *platform, dir string, known discovery.List) *process {
+func startProcess(t *testing.T, p *testPlatform, dir string, known discovery.List) *process {
 	t.Helper()
-	return startAt(t, p, dir, known, "127.0.0.1:0")
+	return startProcessAt(t, p, dir, known, "127.0.0.1:0")
 }
 
-// startAt starts it with an address for clients, which another process of the sender may have.
-func startAt(t *testing.T, p *platform, dir string, known discovery.List, listen string) *process {
+// startProcessAt starts it with an address for clients, which another process of the sender may have.
+func startProcessAt(t *testing.T, p *testPlatform, dir string, known discovery.List, listen string) *process {
 	t.Helper()
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return startText(t, p, dir, configText(p, known), listen, exec.Command(path))
+	return startProcessWithConfig(t, p, dir, configText(p, known), listen, exec.Command(path))
 }
 
-// startText starts it with a configuration of the test's own, by a command that becomes the program.
-func startText(t *testing.T, p *platform, dir string, text []byte, listen string, cmd *exec.Cmd) *process {
+// startProcessWithConfig starts it with a configuration of the test's own, by a command that becomes the program.
+func startProcessWithConfig(t *testing.T, p *testPlatform, dir string, text []byte, listen string, cmd *exec.Cmd) *process {
 	t.Helper()
 	config := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(config, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd.Env = append(os.Environ(), "BALANCER_NAME=n0", "BALANCER_LISTEN="+listen, "BALANCER_OPERATOR=127.0.0.1:0",
-		"BALANCER_DISCOVERY="+strings.TrimPrefix(p.srv.URL, "http://"), "BALANCER_STATE="+dir, "BALANCER_CONFIG="+config)
+		"BALANCER_DISCOVERY="+strings.TrimPrefix(p.server.URL, "http://"), "BALANCER_STATE="+dir, "BALANCER_CONFIG="+config)
 	logs, err := cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	x := &process{t: t, cmd: cmd, config: config, done: make(chan error, 1)}
+	x := &process{t: t, cmd: cmd, configPath: config, done: make(chan error, 1)}
 	t.Cleanup(func() { cmd.Process.Kill() })
 	addr := make(chan string, 1)
 	go func() {
@@ -98,12 +98,12 @@
 		for s := bufio.NewScanner(logs); s.Scan(); {
 			switch line := s.Text(); {
 			case strings.Contains(line, `msg="admin server" addr=`):
-				x.admin = addrOf(line)
+				x.adminAddr = addrOf(line)
 			case strings.Contains(line, "msg=ready "):
 				addr <- addrOf(line)
 			case strings.Contains(line, `msg="rule broken"`):
 				x.mu.Lock()
-				x.bad = append(x.bad, line)
+				x.violations = append(x.violations, line)
 				x.mu.Unlock()
 			}
 		}
@@ -119,10 +119,10 @@
 	await(x.t, x.done, "end of the program")
 }
 
-// term sends SIGTERM; end checks that the program ends by itself.
-func (x *process) term() { x.cmd.Process.Signal(syscall.SIGTERM) }
+// terminate sends SIGTERM; end checks that the program ends by itself.
+func (x *process) terminate() { x.cmd.Process.Signal(syscall.SIGTERM) }
 
-func (x *process) end() {
+func (x *process) awaitExit() {
 	x.t.Helper()
 	if err := await(x.t, x.done, "end of the program"); err != nil {
 		x.t.Errorf("ended with %v", err)
@@ -131,12 +131,12 @@
 
 // A crash with a call out: it may have run. Nothing is handed in again, so the sender itself must send it again
 // where that is harmless, and must not where it is not.
-func TestKillWithCallOut(t *testing.T) {
-	p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
-	known := discovery.List{Generation: 1, Reset: true, Instances: instances(e)}
+func TestCrashDuringCall(t *testing.T) {
+	p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
+	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
 	p.list = known
 	x := startProcess(t, p, dir, known)
-	c := dial(t, x.addr)
+	c := dialClient(t, x.addr)
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		c.put("m-"+class, class, "+OK")
 		await(t, e.calls, "call")
@@ -146,7 +146,7 @@
 	again := map[string]string{}
 	for range 2 {
 		in := await(t, e.calls, "call again")
-		again[in.id()] = in.req.Header.Get("Idempotency-Key") + " " + in.body
+		again[in.id()] = in.request.Header.Get("Idempotency-Key") + " " + in.body
 		in.reply(200)
 	}
 	if again["m-safe"] != "key-m-safe body of m-safe" || again["m-keyed"] != "key-m-keyed body of m-keyed" {
@@ -155,23 +155,23 @@
 	if n := await(t, p.notices, "notice"); n != (Notice{ID: "m-unsafe", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
-	x.term()
-	x.end()
-	e.none(t)
-	if ids := owed(t, dir); ids != nil {
+	x.terminate()
+	x.awaitExit()
+	e.expectNoCall(t)
+	if ids := owedIDs(t, dir); ids != nil {
 		t.Errorf("still owed: %v", ids)
 	}
 }
 
 // Attempts before a crash count: a message that brings the process down each time must not come for ever.
-func TestKillCountsAttempts(t *testing.T) {
-	p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
-	known := discovery.List{Generation: 1, Reset: true, Instances: instances(e)}
+func TestAttemptsBeforeCrashCount(t *testing.T) {
+	p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
+	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
 	p.list = known
 	for i := range 3 { // max_attempts
 		x := startProcess(t, p, dir, known)
 		if i == 0 {
-			dial(t, x.addr).putFor("a", "safe", 16000, "+OK")
+			dialClient(t, x.addr).putWithTime("a", "safe", 16000, "+OK")
 		}
 		await(t, e.calls, "call")
 		x.kill()
@@ -180,30 +180,30 @@
 	if n := await(t, p.notices, "notice"); n != (Notice{ID: "a", State: "failed"}) {
 		t.Errorf("notice %+v", n)
 	}
-	x.term()
-	x.end()
-	e.none(t)
+	x.terminate()
+	x.awaitExit()
+	e.expectNoCall(t)
 }
 
 // What was not sent, or refused, before a crash is sent after it, an unsafe message too; what ran out of time
 // meanwhile is returned, and a notice that nobody confirmed is sent again.
-func TestKillWithoutCallOut(t *testing.T) {
-	p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
-	known := discovery.List{Generation: 1, Reset: true, Instances: instances(e)}
-	p.list, p.deaf = known, true
+func TestCrashWithoutCall(t *testing.T) {
+	p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
+	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
+	p.list, p.rejectNotices = known, true
 	x := startProcess(t, p, dir, known)
-	c := dial(t, x.addr)
+	c := dialClient(t, x.addr)
 	c.put("failed", "unsafe", "+OK")
 	await(t, e.calls, "call").reply(500)
-	await(t, p.refused, "notice")
+	await(t, p.rejectedNotices, "notice")
 	c.put("refused", "unsafe", "+OK")
 	await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
 	if got := c.do("MSG.PUT", "0", "short", "c=unsafe,d=600,dest=2", "x"); got != "+OK" {
 		t.Fatalf("got %q", got)
 	}
 	over := time.Now().Add(600 * time.Millisecond)
-	for stop := time.Now().Add(patience); ; {
-		b, err := os.ReadFile(filepath.Join(dir, journalName))
+	for stop := time.Now().Add(testTimeout); ; {
+		b, err := os.ReadFile(filepath.Join(dir, journalFileName))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -217,7 +217,7 @@
 	c.put("unsent", "unsafe", "+OK") // waits: the sender has been told to
 	x.kill()
 	time.Sleep(time.Until(over))
-	p.set(func() { p.deaf = false })
+	p.update(func() { p.rejectNotices = false })
 	x = startProcess(t, p, dir, known)
 	got := map[string]bool{}
 	for range 2 {
@@ -236,31 +236,31 @@
 	if ends["failed"] != "failed" || ends["short"] != "returned" {
 		t.Errorf("notices: %v", ends)
 	}
-	x.term()
-	x.end()
-	e.none(t)
+	x.terminate()
+	x.awaitExit()
+	e.expectNoCall(t)
 }
 
 // A planned restart: clients are served a while, connections are closed between requests, calls under way end and
 // are journalled, and the next start owes nothing.
-func TestTermWithCallOut(t *testing.T) {
+func TestSIGTERMDuringCall(t *testing.T) {
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
 			t.Parallel()
-			p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
-			known := discovery.List{Generation: 1, Reset: true, Instances: instances(e)}
+			p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
+			known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
 			p.list = known
 			x := startProcess(t, p, dir, known)
-			c := dial(t, x.addr)
+			c := dialClient(t, x.addr)
 			c.put("a", class, "+OK")
 			in := await(t, e.calls, "call")
-			x.term()
-			if got := c.line(); got != "" { // the connection is closed between requests
+			x.terminate()
+			if got := c.readLine(); got != "" { // the connection is closed between requests
 				t.Errorf("got %q", got)
 			}
 			in.reply(200)
-			x.end()
-			if ids := owed(t, dir); ids != nil {
+			x.awaitExit()
+			if ids := owedIDs(t, dir); ids != nil {
 				t.Errorf("still owed: %v", ids)
 			}
 			if len(p.notices) != 0 {
@@ -271,20 +271,20 @@
 }
 
 // A call that does not end must not keep the program from ending in time; it stays in the journal as open.
-func TestTermWithSilentCall(t *testing.T) {
-	p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
-	known := discovery.List{Generation: 1, Reset: true, Instances: instances(e)}
+func TestSIGTERMWithUnresponsiveEndpoint(t *testing.T) {
+	p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
+	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
 	p.list = known
 	x := startProcess(t, p, dir, known)
-	dial(t, x.addr).put("a", "unsafe", "+OK")
+	dialClient(t, x.addr).put("a", "unsafe", "+OK")
 	await(t, e.calls, "call")
 	at := time.Now()
-	x.term()
-	x.end()
-	if d := time.Since(at); d > stopAll+2*time.Second {
+	x.terminate()
+	x.awaitExit()
+	if d := time.Since(at); d > shutdownLoopTimeout+2*time.Second {
 		t.Errorf("ended after %v", d)
 	}
-	if ids := owed(t, dir); len(ids) != 1 {
+	if ids := owedIDs(t, dir); len(ids) != 1 {
 		t.Errorf("owed: %v", ids)
 	}
 	x = startProcess(t, p, dir, known)
@@ -295,20 +295,20 @@
 }
 
 // The platform moves discovery: list and notices follow to the address in the file, and the program goes on.
-func TestHangupMovesDiscovery(t *testing.T) {
-	p, q, e, dir := newPlatform(t), newPlatform(t), newEndpoint(t), t.TempDir()
-	known := discovery.List{Generation: 7, Reset: true, Instances: instances(e)}
+func TestSIGHUPMovesDiscovery(t *testing.T) {
+	p, q, e, dir := newTestPlatform(t), newTestPlatform(t), newTestEndpoint(t), t.TempDir()
+	known := discovery.List{Generation: 7, Reset: true, Instances: instancesOf(e)}
 	p.list = known
 	x := startProcess(t, p, dir, known)
-	taken(t, p, 7)
-	moved := newEndpoint(t)
-	q.list = discovery.List{Generation: 3, Reset: true, Instances: instances(moved)} // versions of its own
-	if err := os.WriteFile(x.config, configText(q, known), 0o600); err != nil {
+	awaitListRequestFrom(t, p, 7)
+	moved := newTestEndpoint(t)
+	q.list = discovery.List{Generation: 3, Reset: true, Instances: instancesOf(moved)} // versions of its own
+	if err := os.WriteFile(x.configPath, configText(q, known), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	x.cmd.Process.Signal(syscall.SIGHUP)
-	taken(t, q, 3)
-	c := dial(t, x.addr)
+	awaitListRequestFrom(t, q, 3)
+	c := dialClient(t, x.addr)
 	c.put("a", "unsafe", "+OK")
 	await(t, moved.calls, "call").reply(500)
 	if n := await(t, q.notices, "notice"); n != (Notice{ID: "a", State: "failed"}) {
@@ -317,7 +317,7 @@
 	if len(p.notices) != 0 {
 		t.Errorf("the old address got %+v", <-p.notices)
 	}
-	x.term()
-	x.end()
-	e.none(t)
+	x.terminate()
+	x.awaitExit()
+	e.expectNoCall(t)
 }
--- a/internal/node/put.go
+++ b/internal/node/put.go
@@ -17,12 +17,12 @@
 	}
 	m.ID, m.Body = string(args[1]), args[3]
 	if key := string(args[0]); strings.Trim(key, "0") != "" {
-		if len(key) > maxIDLen {
+		if len(key) > maxIDBytes {
 			return m, errors.New("bad key")
 		}
-		m.Order = key
+		m.OrderKey = key
 	}
-	if m.ID == "" || len(m.ID) > maxIDLen || !plain(m.ID) {
+	if m.ID == "" || len(m.ID) > maxIDBytes || !isHeaderSafe(m.ID) {
 		return m, errors.New("bad id")
 	}
 	var haveTime, haveDest bool
@@ -37,13 +37,13 @@
 		case "t":
 			m.Tenant = value
 		case "k":
-			if len(value) > maxIDLen || !plain(value) {
+			if len(value) > maxIDBytes || !isHeaderSafe(value) {
 				return m, errors.New("bad idempotency key")
 			}
-			m.Key = value
+			m.IdempotencyKey = value
 		case "d":
 			ms, err := strconv.ParseInt(value, 10, 64)
-			if err != nil || ms < 0 || ms > maxHold.Milliseconds() {
+			if err != nil || ms < 0 || ms > maxPeerDuration.Milliseconds() {
 				return m, errors.New("bad time")
 			}
 			m.Deadline, haveTime = c.clock.Micros(now.Add(time.Duration(ms)*time.Millisecond)), true
@@ -52,26 +52,26 @@
 			if err != nil || n < 0 {
 				return m, errors.New("bad destination")
 			}
-			m.Dest, haveDest = n, true
+			m.Destination, haveDest = n, true
 		}
 	}
 	if !haveTime || !haveDest {
 		return m, errors.New("d and dest must be given")
 	}
-	class, ok := c.cfg.Classes[m.Class]
+	class, ok := c.cfg.ClassIndexes[m.Class]
 	if !ok {
 		return m, errors.New("unknown class")
 	}
-	if m.Order != "" && !c.cfg.Deploy.Settings.Classes[class].KeepOrder {
+	if m.OrderKey != "" && !c.cfg.Deployment.Settings.Classes[class].KeepOrder {
 		return m, errors.New("a key goes only with classes that keep their order")
 	}
-	if _, ok := c.cfg.Tenants[m.Tenant]; !ok && m.Tenant != "" {
+	if _, ok := c.cfg.TenantIndexes[m.Tenant]; !ok && m.Tenant != "" {
 		return m, errors.New("unknown tenant")
 	}
 	return m, nil
 }
 
-// plain says whether s may stand in a header.
-func plain(s string) bool {
+// isHeaderSafe says whether s may stand in a header.
+func isHeaderSafe(s string) bool {
 	return strings.IndexFunc(s, func(r rune) bool { return r <= ' ' || r > '~' }) < 0
 }
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -15,24 +15,24 @@
 // Of the processes that are restarted nine in ten have to be ready within 10 s. A machine that restarts may leave each a
 // quarter of a core: that is what a start may use of the processor.
 const (
-	readyWithin = 10 * time.Second
-	readyCost   = readyWithin / 4
+	maxReadyTime    = 10 * time.Second
+	maxReadyCPUTime = maxReadyTime / 4
 )
 
 // readyTime is what a start took until PING was answered.
-type readyTime struct{ real, cpu time.Duration }
+type readyTime struct{ wall, cpu time.Duration }
 
 // startUntilReady starts the program as the platform does.
-func startUntilReady(t *testing.T, p *platform, dir string, known discovery.List) (*process, readyTime) {
+func startUntilReady(t *testing.T, p *testPlatform, dir string, known discovery.List) (*process, readyTime) {
 	t.Helper()
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	text := strings.Replace(string(configText(p, known)), `"disk_mb":3`, `"disk_mb":128`, 1)
 	at := time.Now()
-	x := startText(t, p, dir, []byte(text), "127.0.0.1:0", exec.Command(path))
-	if got := dial(t, x.addr).do("PING"); got != "+PONG" {
+	x := startProcessWithConfig(t, p, dir, []byte(text), "127.0.0.1:0", exec.Command(path))
+	if got := dialClient(t, x.addr).do("PING"); got != "+PONG" {
 		t.Fatalf("got %q", got)
 	}
 	return x, readyTime{time.Since(at), cpuTime(t, x.cmd.Process.Pid)}
@@ -67,7 +67,7 @@
 	defer j.Close()
 	body, due := make([]byte, 256), time.Now().Add(time.Hour).UnixMicro()
 	for j.size < bytes-1<<10 {
-		m := Message{ID: fmt.Sprintf("%016x", count), Class: "safe", Dest: int64(count % dests), Deadline: due, Body: body}
+		m := Message{ID: fmt.Sprintf("%016x", count), Class: "safe", Destination: int64(count % dests), Deadline: due, Body: body}
 		if err := j.Append([]record{{Op: opAccept, Entry: &Entry{Message: m}}}); err != nil {
 			t.Fatal(err)
 		}
@@ -87,18 +87,18 @@
 
 // The time to ready of a start after SIGKILL, by the size of the journal and of the configuration's list. What it takes of the processor is bounded at moderate sizes; the real time says how busy this machine
 // is, too.
-func TestRestartIsReadySoon(t *testing.T) {
+func TestTimeToReadyAfterRestart(t *testing.T) {
 	t.Log("journal  messages  list entries  ready      processor")
 	row := func(journal int64, count, entries int, r readyTime) {
-		t.Logf("%3d MiB  %8d  %12d  %-9v  %v", journal>>20, count, entries, r.real.Round(time.Millisecond), r.cpu)
+		t.Logf("%3d MiB  %8d  %12d  %-9v  %v", journal>>20, count, entries, r.wall.Round(time.Millisecond), r.cpu)
 	}
 	for _, x := range []struct {
 		journal int64
 		entries int
 		bound   bool
-	}{{0, 0, true}, {1 << 20, 1000, true}, {4 << 20, 1000, true}, {0, 20_000, true}, {mostFile, 0, false}, {0, 200_000, false}} {
-		p, dir := newPlatform(t), t.TempDir()
-		p.silent = true
+	}{{0, 0, true}, {1 << 20, 1000, true}, {4 << 20, 1000, true}, {0, 20_000, true}, {maxJournalFileBytes, 0, false}, {0, 200_000, false}} {
+		p, dir := newTestPlatform(t), t.TempDir()
+		p.unresponsive = true
 		known := discovery.List{Generation: 7, Reset: true, Instances: manyInstances(x.entries)}
 		count := 0
 		if x.journal > 0 {
@@ -108,8 +108,8 @@
 		first.kill()
 		again, r := startUntilReady(t, p, dir, known)
 		row(x.journal, count, x.entries, r)
-		if x.bound && r.cpu > readyCost {
-			t.Errorf("%v of the processor, %v at most", r.cpu, readyCost)
+		if x.bound && r.cpu > maxReadyCPUTime {
+			t.Errorf("%v of the processor, %v at most", r.cpu, maxReadyCPUTime)
 		}
 		again.kill()
 	}
--- a/internal/node/reserve_test.go
+++ b/internal/node/reserve_test.go
@@ -15,32 +15,32 @@
 	"crossdeal/internal/discovery"
 )
 
-// outage is a platform whose machine can be lost: it refuses connections, resets them, or says nothing on them.
-type outage struct {
-	*platform
-	addr  string
-	mu    sync.Mutex
-	ln    net.Listener
-	state string // "up", "refused", "reset" or "silent"
-	conns []net.Conn
-	up    chan net.Conn
-	over  chan struct{}
-	once  sync.Once
+// unreliablePlatform is a platform whose machine can be lost: it refuses connections, resets them, or says nothing on them.
+type unreliablePlatform struct {
+	*testPlatform
+	addr     string
+	mu       sync.Mutex
+	listener net.Listener
+	state    string // "up", "refused", "reset" or "silent"
+	conns    []net.Conn
+	accepted chan net.Conn
+	closed   chan struct{}
+	once     sync.Once
 }
 
-func newOutage(t *testing.T) *outage {
+func newUnreliablePlatform(t *testing.T) *unreliablePlatform {
 	t.Helper()
-	o := &outage{platform: newPlatform(t), addr: "127.53.0.1:0", up: make(chan net.Conn, 64), over: make(chan struct{})}
-	o.become(t, "up")
-	srv := &http.Server{Handler: o.srv.Config.Handler}
+	o := &unreliablePlatform{testPlatform: newTestPlatform(t), addr: "127.53.0.1:0", accepted: make(chan net.Conn, 64), closed: make(chan struct{})}
+	o.setState(t, "up")
+	srv := &http.Server{Handler: o.server.Config.Handler}
 	go srv.Serve(o)
-	o.srv.URL = "http://" + o.addr
-	t.Cleanup(func() { o.become(t, "refused"); srv.Close() })
+	o.server.URL = "http://" + o.addr
+	t.Cleanup(func() { o.setState(t, "refused"); srv.Close() })
 	return o
 }
 
-// become ends all connections and goes on in another state.
-func (o *outage) become(t *testing.T, state string) {
+// setState ends all connections and goes on in another state.
+func (o *unreliablePlatform) setState(t *testing.T, state string) {
 	t.Helper()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -51,20 +51,20 @@
 	}
 	o.conns = nil
 	if state == "refused" {
-		if o.ln != nil {
-			o.ln.Close()
+		if o.listener != nil {
+			o.listener.Close()
 		}
-		o.ln = nil
+		o.listener = nil
 		return
 	}
-	if o.ln != nil {
+	if o.listener != nil {
 		return
 	}
 	ln, err := net.Listen("tcp", o.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.ln, o.addr = ln, ln.Addr().String()
+	o.listener, o.addr = ln, ln.Addr().String()
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -75,7 +75,7 @@
 			o.conns = append(o.conns, conn)
 			switch o.state {
 			case "up":
-				o.up <- conn
+				o.accepted <- conn
 			case "silent":
 			default:
 				conn.(*net.TCPConn).SetLinger(0)
@@ -87,20 +87,20 @@
 }
 
 // Accept, Close and Addr make it the listener of a server that gets what comes while it is up.
-func (o *outage) Accept() (net.Conn, error) {
+func (o *unreliablePlatform) Accept() (net.Conn, error) {
 	select {
-	case conn := <-o.up:
+	case conn := <-o.accepted:
 		return conn, nil
-	case <-o.over:
+	case <-o.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (o *outage) Close() error   { o.once.Do(func() { close(o.over) }); return nil }
-func (o *outage) Addr() net.Addr { return &net.TCPAddr{} }
+func (o *unreliablePlatform) Close() error   { o.once.Do(func() { close(o.closed) }); return nil }
+func (o *unreliablePlatform) Addr() net.Addr { return &net.TCPAddr{} }
 
-// crowd keeps many connections open that say nothing, until the test ends, and opens each anew that is closed.
-func crowd(t *testing.T, addr string, many int) (open *atomic.Int64) {
+// openIdleClients keeps many connections open that say nothing, until the test ends, and opens each anew that is closed.
+func openIdleClients(t *testing.T, addr string, many int) (open *atomic.Int64) {
 	t.Helper()
 	open = new(atomic.Int64)
 	over := make(chan struct{})
@@ -138,29 +138,29 @@
 // Idle clients fill all that is accepted, and calls are out at endpoints that do not answer, while discovery is down:
 // no descriptor is free but those kept for discovery and notices. When it is back it is reached, by the list and by
 // notices.
-func TestDiscoveryIsReachedThroughACrowd(t *testing.T) {
+func TestDiscoveryIsReachedWithAllDescriptorsInUse(t *testing.T) {
 	const sockets, slots, hang = 256, 160, 120 // half of the descriptors for clients, and the calls: more than there are
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, state := range []string{"refused", "reset", "silent"} {
 		t.Run(state, func(t *testing.T) {
 			t.Parallel()
-			o, dir := newOutage(t), t.TempDir()
-			hung := []*endpoint{newEndpoint(t), newEndpoint(t)}
-			late := newEndpoint(t)
-			known := discovery.List{Generation: 1, Reset: true, Instances: instances(hung...)}
+			o, dir := newUnreliablePlatform(t), t.TempDir()
+			hung := []*testEndpoint{newTestEndpoint(t), newTestEndpoint(t)}
+			late := newTestEndpoint(t)
+			known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(hung...)}
 			for i := range known.Instances {
 				known.Instances[i].Dest, known.Instances[i].Weight = int64(i+1), 1e6
 			}
 			o.list = known
 			text := strings.NewReplacer(`"call_slots":6`, fmt.Sprintf(`"call_slots":%d`, slots), `"max_open":8`, `"max_open":400`).
-				Replace(string(configText(o.platform, known)))
-			x := startText(t, o.platform, dir, []byte(text), "127.0.0.1:0",
+				Replace(string(configText(o.testPlatform, known)))
+			x := startProcessWithConfig(t, o.testPlatform, dir, []byte(text), "127.0.0.1:0",
 				exec.Command("sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, sockets), path))
-			o.become(t, state)
-			c := dial(t, x.addr)
+			o.setState(t, state)
+			c := dialClient(t, x.addr)
 			put := func(id, class string, ms, dest int) {
 				if got := c.do("MSG.PUT", "0", id, fmt.Sprintf("c=%s,d=%d,dest=%d", class, ms, dest), "x"); got != "+OK" {
 					t.Fatalf("put %s: %q", id, got)
@@ -171,7 +171,7 @@
 			for i := range hang {
 				put(fmt.Sprint("m", i), "unsafe", 60000, 1+i%2)
 			}
-			open := crowd(t, x.addr, sockets)
+			open := openIdleClients(t, x.addr, sockets)
 			most, out := 0, 0
 			for stop := time.Now().Add(5 * time.Second); time.Now().Before(stop); time.Sleep(50 * time.Millisecond) {
 				fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", x.cmd.Process.Pid))
@@ -193,8 +193,8 @@
 			at := time.Now()
 			known.Generation = 2
 			known.Instances = append(known.Instances, discovery.Instance{ID: "late", HostPort: late.addr(), Zone: "a", Kind: "std", Dest: 3, Lifecycle: "up", Weight: 1e6})
-			o.set(func() { o.list = known })
-			o.become(t, "up")
+			o.update(func() { o.list = known })
+			o.setState(t, "up")
 			in := await(t, late.calls, "call at the new endpoint")
 			called := time.Since(at)
 			in.reply(200)
@@ -202,7 +202,7 @@
 				t.Errorf("notice %+v", n)
 			}
 			t.Logf("the change was in force %v after the return, the notice there after %v", called, time.Since(at))
-			if got := dial(t, x.addr).do("PING"); got != "+PONG" {
+			if got := dialClient(t, x.addr).do("PING"); got != "+PONG" {
 				t.Errorf("a new client got %q", got)
 			}
 			x.kill()
--- a/internal/node/resp.go
+++ b/internal/node/resp.go
@@ -10,10 +10,10 @@
 
 // Bounds of a request. A longer one is a protocol error.
 const (
-	maxArgs = 16
-	maxBulk = 64 << 10 // body
-	maxLine = 64       // length lines
-	maxRest = 4 << 10  // all that is not the longest argument
+	maxArgs            = 16
+	maxBulkBytes       = 64 << 10 // body
+	maxLengthLineBytes = 64       // length lines
+	maxOverheadBytes   = 4 << 10  // all that is not the longest argument
 )
 
 // errProtocol marks what is not a RESP2 request; the connection cannot go on.
@@ -30,18 +30,18 @@
 		return nil, fmt.Errorf("%w: empty request", errProtocol)
 	}
 	args := make([][]byte, n)
-	left := maxBulk + maxRest // peers hold no more memory than a proper request takes
+	left := maxBulkBytes + maxOverheadBytes // peers hold no more memory than a proper request takes
 	for i := range args {
-		size, err := readLength(r, '$', maxBulk)
+		size, err := readLength(r, '$', maxBulkBytes)
 		if err != nil {
-			return nil, unexpected(err)
+			return nil, toUnexpectedEOF(err)
 		}
 		if left -= size; left < 0 {
-			return nil, fmt.Errorf("%w: request over %d bytes", errProtocol, maxBulk+maxRest)
+			return nil, fmt.Errorf("%w: request over %d bytes", errProtocol, maxBulkBytes+maxOverheadBytes)
 		}
 		b := make([]byte, size+2)
 		if _, err := io.ReadFull(r, b); err != nil {
-			return nil, unexpected(err)
+			return nil, toUnexpectedEOF(err)
 		}
 		if b[size] != '\r' || b[size+1] != '\n' {
 			return nil, fmt.Errorf("%w: bulk string without its end", errProtocol)
@@ -57,7 +57,7 @@
 		c, err := r.ReadByte()
 		if err != nil {
 			if len(line) > 0 {
-				err = unexpected(err)
+				err = toUnexpectedEOF(err)
 			}
 			return 0, err
 		}
@@ -65,7 +65,7 @@
 		if c == '\n' {
 			break
 		}
-		if len(line) >= maxLine {
+		if len(line) >= maxLengthLineBytes {
 			return 0, fmt.Errorf("%w: length line too long", errProtocol)
 		}
 	}
@@ -82,8 +82,8 @@
 	return int(n), nil
 }
 
-// unexpected turns the end of the input into one inside a request.
-func unexpected(err error) error {
+// toUnexpectedEOF turns the end of the input into one inside a request.
+func toUnexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/node/resp_test.go
+++ b/internal/node/resp_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestReadCommandCutOff(t *testing.T) {
+func TestReadCommandTruncated(t *testing.T) {
 	whole := "*2\r\n$4\r\nPING\r\n$2\r\nab\r\n"
 	for i := 1; i < len(whole); i++ {
 		if _, err := readCommand(bufio.NewReader(strings.NewReader(whole[:i]))); !errors.Is(err, io.ErrUnexpectedEOF) {
--- a/internal/node/saved_list_test.go
+++ b/internal/node/saved_list_test.go
@@ -17,29 +17,29 @@
 	"crossdeal/internal/discovery"
 )
 
-// logText gathers a log.
-type logText struct {
-	mu   sync.Mutex
-	text bytes.Buffer
+// logBuffer gathers a log.
+type logBuffer struct {
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
-func (l *logText) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.text.Write(b)
+	return l.buffer.Write(b)
 }
 
-func (l *logText) count(s string) int {
+func (l *logBuffer) count(s string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Count(l.text.String(), s)
+	return strings.Count(l.buffer.String(), s)
 }
 
-// startLogged starts a sender whose log is kept.
-func startLogged(t *testing.T, cfg *Config, dir string) (*testNode, *logText) {
+// startNodeWithLog starts a sender whose log is kept.
+func startNodeWithLog(t *testing.T, cfg *Config, dir string) (*testNode, *logBuffer) {
 	t.Helper()
 	cfg.StateDir = dir
-	log := &logText{}
+	log := &logBuffer{}
 	n, err := New(cfg, slog.New(slog.NewTextHandler(log, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 	return x, log
 }
 
-func config(t *testing.T, p *platform, known discovery.List) *Config {
+func parseTestConfig(t *testing.T, p *testPlatform, known discovery.List) *Config {
 	t.Helper()
 	cfg, err := ParseConfig(configText(p, known))
 	if err != nil {
@@ -61,15 +61,15 @@
 	return cfg
 }
 
-// forget empties what the platform has noted of calls for the list.
-func (p *platform) forget() {
-	for len(p.asked) > 0 {
-		<-p.asked
+// clearListRequests empties what the platform has noted of calls for the list.
+func (p *testPlatform) clearListRequests() {
+	for len(p.listRequests) > 0 {
+		<-p.listRequests
 	}
 }
 
-// savedList reads a folder's list as the next process would; the store there is the sender's.
-func savedList(t *testing.T, dir string) (discovery.Saved, map[string]discovery.Instance, error) {
+// readSavedList reads a folder's list as the next process would; the store there is the sender's.
+func readSavedList(t *testing.T, dir string) (discovery.Saved, map[string]discovery.Instance, error) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(dir, "list"))
 	if err != nil {
@@ -93,33 +93,33 @@
 
 // A process that is killed has saved what it was last told: the next one begins there, though the configuration's list
 // is old, discovery does not answer, and nothing was ever said of an end.
-func TestKillKeepsTheSavedList(t *testing.T) {
-	p, old, e, dir := newPlatform(t), newEndpoint(t), newEndpoint(t), t.TempDir()
-	known := discovery.List{Generation: 2, Reset: true, Instances: instances(old)}
-	p.list = discovery.List{Generation: 5, Reset: true, Instances: instances(old, old)}
+func TestSavedListSurvivesCrash(t *testing.T) {
+	p, old, e, dir := newTestPlatform(t), newTestEndpoint(t), newTestEndpoint(t), t.TempDir()
+	known := discovery.List{Generation: 2, Reset: true, Instances: instancesOf(old)}
+	p.list = discovery.List{Generation: 5, Reset: true, Instances: instancesOf(old, old)}
 	x := startProcess(t, p, dir, known)
-	kept(t, dir, 5)
-	changed := instances(e, e)[:1] // s-0 has another address, s-1 is gone
+	awaitSavedList(t, dir, 5)
+	changed := instancesOf(e, e)[:1] // s-0 has another address, s-1 is gone
 	changed = append(changed, discovery.Instance{ID: "s-1", Dest: 1, Lifecycle: "removed"})
-	p.set(func() { p.list = discovery.List{Generation: 6, Instances: changed} })
-	kept(t, dir, 6)
+	p.update(func() { p.list = discovery.List{Generation: 6, Instances: changed} })
+	awaitSavedList(t, dir, 6)
 	x.kill()
-	p.set(func() { p.silent = true })
-	p.forget()
+	p.update(func() { p.unresponsive = true })
+	p.clearListRequests()
 	x = startProcess(t, p, dir, known)
-	if q := await(t, p.asked, "call"); !strings.HasPrefix(q, "from=6&") {
+	if q := await(t, p.listRequests, "call"); !strings.HasPrefix(q, "from=6&") {
 		t.Errorf("asked %q, want what is newer than generation 6", q)
 	}
-	dial(t, x.addr).put("a", "safe", "+OK")
+	dialClient(t, x.addr).put("a", "safe", "+OK")
 	await(t, e.calls, "call to what the saved list has").reply(200)
-	old.none(t)
+	old.expectNoCall(t)
 	x.kill()
 }
 
 // A copy that is torn or bad costs what can't be read and a line in the log: the sender begins with what stands before,
 // or with the configuration's list, asks for what came after, and saves a good list again.
-func TestSpoiledListIsReplaced(t *testing.T) {
-	e, old := newEndpoint(t), newEndpoint(t)
+func TestCorruptSavedListIsReplaced(t *testing.T) {
+	e, old := newTestEndpoint(t), newTestEndpoint(t)
 	const unused, cut = `"the saved list is not used"`, `"saved list: cut behind the last whole update"`
 	for name, x := range map[string]struct {
 		spoil func(text []byte, snapshot int) []byte
@@ -127,20 +127,20 @@
 		asked string // begin of the first call's query
 		line  string
 	}{
-		"torn update":                 {func(b []byte, _ int) []byte { return b[:len(b)-1] }, discovery.List{Generation: 3, Reset: true, Instances: instances(old)}, "from=5&", cut},
-		"bad update":                  {func(b []byte, n int) []byte { b[n+20] ^= 1; return b }, discovery.List{Generation: 3, Reset: true, Instances: instances(old)}, "from=5&", cut},
+		"torn update":                 {func(b []byte, _ int) []byte { return b[:len(b)-1] }, discovery.List{Generation: 3, Reset: true, Instances: instancesOf(old)}, "from=5&", cut},
+		"bad update":                  {func(b []byte, n int) []byte { b[n+20] ^= 1; return b }, discovery.List{Generation: 3, Reset: true, Instances: instancesOf(old)}, "from=5&", cut},
 		"zeros behind":                {func(b []byte, _ int) []byte { return append(b, make([]byte, 700)...) }, discovery.List{}, "from=6&", cut},
-		"bad snapshot":                {func(b []byte, n int) []byte { b[n/2] ^= 1; return b }, discovery.List{Generation: 3, Reset: true, Instances: instances(old)}, "from=3&", unused},
-		"cut snapshot":                {func(b []byte, n int) []byte { return b[:n-1] }, discovery.List{Generation: 3, Reset: true, Instances: instances(old)}, "from=3&", unused},
+		"bad snapshot":                {func(b []byte, n int) []byte { b[n/2] ^= 1; return b }, discovery.List{Generation: 3, Reset: true, Instances: instancesOf(old)}, "from=3&", unused},
+		"cut snapshot":                {func(b []byte, n int) []byte { return b[:n-1] }, discovery.List{Generation: 3, Reset: true, Instances: instancesOf(old)}, "from=3&", unused},
 		"cut snapshot, no known list": {func(b []byte, n int) []byte { return b[:n/2] }, discovery.List{}, "", unused},
 		"cut before all":              {func([]byte, int) []byte { return nil }, discovery.List{}, "", unused},
-		"another file":                {func([]byte, int) []byte { return []byte(`{"instances":[]}`) }, discovery.List{Generation: 3, Reset: true, Instances: instances(old)}, "from=3&", unused},
+		"another file":                {func([]byte, int) []byte { return []byte(`{"instances":[]}`) }, discovery.List{Generation: 3, Reset: true, Instances: instancesOf(old)}, "from=3&", unused},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, dir := newPlatform(t), t.TempDir()
-			cfg := config(t, p, x.known)
+			p, dir := newTestPlatform(t), t.TempDir()
+			cfg := parseTestConfig(t, p, x.known)
 			s := discovery.OpenStore(dir, 1<<20, slog.New(slog.DiscardHandler))
-			if err := s.Replace(cfg.Discovery, 5, slices.Values(instances(e, old))); err != nil {
+			if err := s.Replace(cfg.DiscoveryAddr, 5, slices.Values(instancesOf(e, old))); err != nil {
 				t.Fatal(err)
 			}
 			path := filepath.Join(dir, "list")
@@ -148,7 +148,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := s.Append(6, instances(e, e)[1:]); err != nil {
+			if err := s.Append(6, instancesOf(e, e)[1:]); err != nil {
 				t.Fatal(err)
 			}
 			text, err := os.ReadFile(path)
@@ -158,17 +158,17 @@
 			if err := os.WriteFile(path, x.spoil(text, int(snapshot.Size())), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			p.list = discovery.List{Generation: 9, Reset: true, Instances: instances(e)}
-			n, log := startLogged(t, cfg, dir)
-			if q := await(t, p.asked, "call"); !strings.HasPrefix(q, x.asked) || x.asked == "" && q != "" {
+			p.list = discovery.List{Generation: 9, Reset: true, Instances: instancesOf(e)}
+			n, log := startNodeWithLog(t, cfg, dir)
+			if q := await(t, p.listRequests, "call"); !strings.HasPrefix(q, x.asked) || x.asked == "" && q != "" {
 				t.Errorf("asked %q, want %q", q, x.asked)
 			}
 			if got := log.count(x.line); got != 1 {
 				t.Errorf("%d lines in the log that say %s", got, x.line)
 			}
-			kept(t, dir, 9)
+			awaitSavedList(t, dir, 9)
 			stopNode(t, n)
-			if saved, list, err := savedList(t, dir); err != nil || saved.Origin != cfg.Discovery || len(list) != 1 || list["s-0"] != instances(e)[0] {
+			if saved, list, err := readSavedList(t, dir); err != nil || saved.Origin != cfg.DiscoveryAddr || len(list) != 1 || list["s-0"] != instancesOf(e)[0] {
 				t.Errorf("saved then: %+v, %v, %v", saved, list, err)
 			}
 		})
@@ -177,32 +177,32 @@
 
 // A copy that is older than the configuration's list is not used, and no update is appended to it: it would make a list
 // that never was.
-func TestOlderCopyIsNotGoneOnWith(t *testing.T) {
-	p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
-	known := discovery.List{Generation: 7, Reset: true, Instances: instances(e, e)}
-	cfg := config(t, p, known)
-	stale := instances(e, e, e, e) // two of them were taken off since
-	if err := discovery.OpenStore(dir, 1<<20, slog.New(slog.DiscardHandler)).Replace(cfg.Discovery, 5, slices.Values(stale)); err != nil {
+func TestOlderSavedListIsNotUsed(t *testing.T) {
+	p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
+	known := discovery.List{Generation: 7, Reset: true, Instances: instancesOf(e, e)}
+	cfg := parseTestConfig(t, p, known)
+	stale := instancesOf(e, e, e, e) // two of them were taken off since
+	if err := discovery.OpenStore(dir, 1<<20, slog.New(slog.DiscardHandler)).Replace(cfg.DiscoveryAddr, 5, slices.Values(stale)); err != nil {
 		t.Fatal(err)
 	}
-	p.silent = true
-	n, _ := startLogged(t, cfg, dir)
-	if q := await(t, p.asked, "call"); !strings.HasPrefix(q, "from=7&") {
+	p.unresponsive = true
+	n, _ := startNodeWithLog(t, cfg, dir)
+	if q := await(t, p.listRequests, "call"); !strings.HasPrefix(q, "from=7&") {
 		t.Errorf("asked %q, want what is newer than generation 7", q)
 	}
-	more := instances(e, e, e, e, e)[4:]
-	p.set(func() { p.silent, p.list = false, discovery.List{Generation: 8, Instances: more} })
-	kept(t, dir, 8)
+	more := instancesOf(e, e, e, e, e)[4:]
+	p.update(func() { p.unresponsive, p.list = false, discovery.List{Generation: 8, Instances: more} })
+	awaitSavedList(t, dir, 8)
 	stopNode(t, n)
 	want := map[string]discovery.Instance{"s-0": stale[0], "s-1": stale[1], "s-4": more[0]}
-	if _, list, err := savedList(t, dir); err != nil || fmt.Sprint(list) != fmt.Sprint(want) {
+	if _, list, err := readSavedList(t, dir); err != nil || fmt.Sprint(list) != fmt.Sprint(want) {
 		t.Errorf("saved %v, %v", list, err)
 	}
 }
 
 // The folder never holds more than the platform allows, whatever becomes of the list and of messages. A list that has no
 // room is not kept, which is said once, and the sender works on.
-func TestFolderStaysWithinTheDisk(t *testing.T) {
+func TestStateFolderStaysWithinDiskLimit(t *testing.T) {
 	const steps = 40
 	for name, x := range map[string]struct {
 		disk    float64 // MB
@@ -215,21 +215,21 @@
 		"no room for list": {0.1, 300, false, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
-			cfg := config(t, p, discovery.List{})
+			p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
+			cfg := parseTestConfig(t, p, discovery.List{})
 			cfg.Limits.DiskMB = x.disk
 			entry := func(i, step int) discovery.Instance {
 				return discovery.Instance{ID: fmt.Sprint("x-", i), HostPort: fmt.Sprintf("127.%d.%d.%d:%d", i*7%250, i*31%250, i%250, 2000+step),
 					Zone: "a", Kind: "std", Dest: int64(100 + i), Lifecycle: "up", Weight: 100}
 			}
-			want := map[string]discovery.Instance{"s-0": instances(e)[0]}
-			whole := instances(e)
+			want := map[string]discovery.Instance{"s-0": instancesOf(e)[0]}
+			whole := instancesOf(e)
 			for i := range x.entries {
 				whole = append(whole, entry(i, 0))
 				want[whole[i+1].ID] = whole[i+1]
 			}
 			p.list = discovery.List{Generation: 1, Reset: true, Instances: whole}
-			n, log := startLogged(t, cfg, dir)
+			n, log := startNodeWithLog(t, cfg, dir)
 			limit := int64(x.disk * 1e6)
 			check := func(when string) {
 				t.Helper()
@@ -240,16 +240,16 @@
 			has := func(generation int) { // waits until it has that and asks for the next
 				t.Helper()
 				for q := ""; !strings.HasPrefix(q, fmt.Sprintf("from=%d&", generation)); {
-					q = await(t, p.asked, "call")
+					q = await(t, p.listRequests, "call")
 					check("after " + q)
 				}
 			}
 			has(1)
-			c := dial(t, n.addr)
+			c := dialClient(t, n.addr)
 			body := strings.Repeat("b", 6000)
 			for step := 1; step <= steps; step++ {
 				if x.kept {
-					kept(t, dir, int64(step))
+					awaitSavedList(t, dir, int64(step))
 				}
 				check(fmt.Sprint("step ", step))
 				var rows []discovery.Instance
@@ -258,7 +258,7 @@
 					rows = append(rows, in)
 					want[in.ID] = in
 				}
-				p.set(func() { p.list = discovery.List{Generation: int64(1 + step), Instances: rows} })
+				p.update(func() { p.list = discovery.List{Generation: int64(1 + step), Instances: rows} })
 				for i := range 3 {
 					id := fmt.Sprint("m-", step, "-", i)
 					if got := c.do("MSG.PUT", "0000", id, "c=safe,t=acme,d=10000,k=key-"+id+",dest=1", body); got != "+OK" {
@@ -272,8 +272,8 @@
 			}
 			last := int64(1 + steps)
 			if x.kept {
-				kept(t, dir, last)
-			} else if _, _, err := savedList(t, dir); !errors.Is(err, fs.ErrNotExist) {
+				awaitSavedList(t, dir, last)
+			} else if _, _, err := readSavedList(t, dir); !errors.Is(err, fs.ErrNotExist) {
 				t.Errorf("a list that has no room is saved, or %v", err)
 			}
 			if x.lines > 0 { // it finds room once it is shorter
@@ -283,8 +283,8 @@
 					delete(want, fmt.Sprint("x-", i))
 				}
 				last++
-				p.set(func() { p.list = discovery.List{Generation: last, Instances: rows} })
-				kept(t, dir, last)
+				p.update(func() { p.list = discovery.List{Generation: last, Instances: rows} })
+				awaitSavedList(t, dir, last)
 				check("shorter")
 			}
 			stopNode(t, n)
@@ -292,7 +292,7 @@
 			if said := log.count(`"the list is not kept for the next start"`); said != x.lines {
 				t.Errorf("said %d times that the list is not kept", said)
 			}
-			if saved, list, err := savedList(t, dir); x.kept || x.lines > 0 {
+			if saved, list, err := readSavedList(t, dir); x.kept || x.lines > 0 {
 				if err != nil || saved.Generation != last || fmt.Sprint(list) != fmt.Sprint(want) {
 					t.Errorf("saved %+v with %d entries of %d, %v", saved, len(list), len(want), err)
 				}
--- a/internal/node/saved_test.go
+++ b/internal/node/saved_test.go
@@ -11,10 +11,10 @@
 	"crossdeal/internal/discovery"
 )
 
-// kept waits until a folder has a saved list of that generation.
-func kept(t *testing.T, dir string, generation int64) {
+// awaitSavedList waits until a folder has a saved list of that generation.
+func awaitSavedList(t *testing.T, dir string, generation int64) {
 	t.Helper()
-	for stop := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for stop := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		text, err := os.ReadFile(filepath.Join(dir, "list"))
 		if err == nil { // of a copy: the store is the sender's
 			at := t.TempDir()
@@ -41,29 +41,29 @@
 
 // A sender that starts again goes on from the list that it had, though discovery is down and the configuration has an
 // older one or none, and asks for changes only.
-func TestRestartBeginsWithTheSavedList(t *testing.T) {
+func TestRestartStartsFromSavedList(t *testing.T) {
 	for _, known := range []discovery.List{{}, {Generation: 1, Reset: true, Instances: []discovery.Instance{}}} {
-		p, e, dir := newPlatform(t), newEndpoint(t), t.TempDir()
-		p.list = discovery.List{Generation: 5, Reset: true, Instances: instances(e, e)}
+		p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
+		p.list = discovery.List{Generation: 5, Reset: true, Instances: instancesOf(e, e)}
 		n := startNode(t, p, dir, known)
-		kept(t, dir, 5)
-		p.set(func() {
+		awaitSavedList(t, dir, 5)
+		p.update(func() {
 			p.list = discovery.List{Generation: 6, Instances: []discovery.Instance{{ID: "s-1", Dest: 1, Lifecycle: "removed"}}}
 		})
-		kept(t, dir, 6)
+		awaitSavedList(t, dir, 6)
 		stopNode(t, n)
-		p.set(func() { p.silent = true })
-		for len(p.asked) > 0 {
-			<-p.asked
+		p.update(func() { p.unresponsive = true })
+		for len(p.listRequests) > 0 {
+			<-p.listRequests
 		}
 		n = startNode(t, p, dir, known)
-		if q := await(t, p.asked, "call"); !strings.HasPrefix(q, "from=6&") {
+		if q := await(t, p.listRequests, "call"); !strings.HasPrefix(q, "from=6&") {
 			t.Errorf("asked %q, want what is newer than generation 6", q)
 		}
-		if n.dir.Len() != 1 {
-			t.Errorf("%d entries", n.dir.Len())
+		if n.directory.Len() != 1 {
+			t.Errorf("%d entries", n.directory.Len())
 		}
-		c := dial(t, n.addr)
+		c := dialClient(t, n.addr)
 		c.put("a", "safe", "+OK")
 		await(t, e.calls, "call to what the saved list has").reply(200)
 		stopNode(t, n)
@@ -72,9 +72,9 @@
 
 // The saved list counts only where it is newer than that of the configuration and comes from the discovery that is
 // asked; a list of another address serves until the whole list of the present one is there.
-func TestWhichListASenderBeginsWith(t *testing.T) {
-	e, other := newEndpoint(t), newEndpoint(t)
-	row := func(e *endpoint) []discovery.Instance { return instances(e) }
+func TestInitialListSelection(t *testing.T) {
+	e, other := newTestEndpoint(t), newTestEndpoint(t)
+	row := func(e *testEndpoint) []discovery.Instance { return instancesOf(e) }
 	for name, x := range map[string]struct {
 		origin     string // of the saved list; empty for that of the configuration
 		saved      int64
@@ -91,13 +91,13 @@
 		"torn":                   {"", 7, discovery.List{Generation: 6, Reset: true, Instances: row(other)}, true, 6, other.addr()},
 		"torn, and no known one": {"", 7, discovery.List{}, true, -1, ""},
 	} {
-		cfg, err := ParseConfig(configText(newPlatform(t), x.known))
+		cfg, err := ParseConfig(configText(newTestPlatform(t), x.known))
 		if err != nil {
 			t.Fatal(err)
 		}
 		cfg.StateDir = t.TempDir()
 		if x.origin == "" {
-			x.origin = cfg.Discovery
+			x.origin = cfg.DiscoveryAddr
 		}
 		s := discovery.OpenStore(cfg.StateDir, 1<<20, slog.New(slog.DiscardHandler))
 		if err := s.Replace(x.origin, x.saved, func(yield func(discovery.Instance) bool) { yield(row(e)[0]) }); err != nil {
@@ -115,14 +115,14 @@
 			}
 		}
 		refused := make(chan bool, 1)
-		n, err := New(cfg, slog.New(onLine("the saved list is not used", refused)))
+		n, err := New(cfg, slog.New(notifyOnLogLine("the saved list is not used", refused)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		start := recordStart(n)
-		n.resume()
-		id, _ := n.dir.Lookup("s-0")
-		if start.generation != x.generation || n.target(id).Addr != x.addr || len(refused) != 0 != x.spoil || n.generation != max(x.generation, 0) {
+		start := recordWatchStart(n)
+		n.resumeFromJournal()
+		id, _ := n.directory.Lookup("s-0")
+		if start.generation != x.generation || n.target(id).Addr != x.addr || len(refused) != 0 != x.spoil || n.listGeneration != max(x.generation, 0) {
 			t.Errorf("%s: begins with generation %d and %q, refused %v", name, start.generation, n.target(id).Addr, len(refused) != 0)
 		}
 		n.close()
@@ -131,27 +131,27 @@
 
 // Journal and saved list together stay within the disk that the platform gives, counted in whole blocks, also while one
 // or both are rewritten; where there is little, no list is kept.
-func TestDiskIsShared(t *testing.T) {
+func TestJournalAndSavedListShareDisk(t *testing.T) {
 	block := func(n int64) int64 { return (n + 511) / 512 * 512 }
 	for _, x := range []struct {
 		disk float64
 		some bool
 	}{{0.01, false}, {0.1, false}, {0.5, true}, {3, true}, {64, true}, {1000, true}} {
 		l := Limits{MemoryMB: 192, DiskMB: x.disk}
-		disk, list := l.diskBytes(), l.storeBytes()
-		if used := 2*block(journalLimit(disk)) + list; used+4096 > disk && list > 0 || list > 0 != x.some || list < 0 {
+		disk, list := l.diskBytes(), l.listStoreBytes()
+		if used := 2*block(journalFileLimit(disk)) + list; used+4096 > disk && list > 0 || list > 0 != x.some || list < 0 {
 			t.Errorf("%v MB: %d of %d bytes, %d of them for the list", x.disk, used, disk, list)
 		}
 	}
-	if list := (Limits{MemoryMB: 256}).storeBytes(); list != 64<<20 {
+	if list := (Limits{MemoryMB: 256}).listStoreBytes(); list != 64<<20 {
 		t.Errorf("no limit: %d bytes", list)
 	}
 }
 
 // A process that takes over knows what is listed from the saved list, if that is what was handed over.
-func TestTakeoverMatchesTheSavedList(t *testing.T) {
+func TestTakeoverUsesMatchingSavedList(t *testing.T) {
 	for generation, want := range map[int64]bool{7: true, 8: false} {
-		cfg, err := ParseConfig(configText(newPlatform(t), discovery.List{}))
+		cfg, err := ParseConfig(configText(newTestPlatform(t), discovery.List{}))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -160,19 +160,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		rows := instances(newEndpoint(t), newEndpoint(t))
+		rows := instancesOf(newTestEndpoint(t), newTestEndpoint(t))
 		rows[1].Lifecycle = "draining"
-		if err := n.saved.Replace(cfg.Discovery, 7, func(yield func(discovery.Instance) bool) {
+		if err := n.listStore.Replace(cfg.DiscoveryAddr, 7, func(yield func(discovery.Instance) bool) {
 			_ = yield(rows[0]) && yield(rows[1])
 		}); err != nil {
 			t.Fatal(err)
 		}
 		for i, name := range []string{"s-0", "s-1", "gone"} {
-			n.dir.Adopt(name, 10+n.dir.Number("")+1, discovery.Target{Addr: rows[i%2].HostPort, Dest: 1})
+			n.directory.Adopt(name, 10+n.directory.Number("")+1, discovery.Target{Addr: rows[i%2].HostPort, Dest: 1})
 		}
-		n.matchSaved("http://"+cfg.Discovery, generation)
-		if got := n.dir.Known() && n.dir.Len() == 2; got != want {
-			t.Errorf("generation %d: known %v, %d entries", generation, n.dir.Known(), n.dir.Len())
+		n.matchSavedList("http://"+cfg.DiscoveryAddr, generation)
+		if got := n.directory.Known() && n.directory.Len() == 2; got != want {
+			t.Errorf("generation %d: known %v, %d entries", generation, n.directory.Known(), n.directory.Len())
 		}
 		n.close()
 	}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// clientsOnly serves clients without a loop behind them: PING is enough to see who is answered.
-func clientsOnly(t *testing.T) (*clients, net.Listener) {
+// serveClientsOnly serves clients without a loop behind them: PING is enough to see who is answered.
+func serveClientsOnly(t *testing.T) (*clients, net.Listener) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,18 +24,18 @@
 	return served, ln
 }
 
-// until is a context that tells a deadline and does not end by it.
-type until struct {
+// deadlineContext is a context that tells a deadline and does not end by it.
+type deadlineContext struct {
 	context.Context
 	deadline time.Time
 }
 
-func (u until) Deadline() (time.Time, bool) { return u.deadline, true }
+func (u deadlineContext) Deadline() (time.Time, bool) { return u.deadline, true }
 
 // A client that sends on an open connection for as long as it is open is answered, and does not outlast the shutdown:
 // at the process's end no request is left that was read and has no answer.
-func TestShutdownEndsWithAClientThatSendsOn(t *testing.T) {
-	served, ln := clientsOnly(t)
+func TestShutdownEndsDespiteClientThatKeepsSending(t *testing.T) {
+	served, ln := serveClientsOnly(t)
 	conn, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -65,17 +65,20 @@
 		ended <- err
 	}()
 	done := make(chan bool, 1)
-	go func() { served.shutdown(until{t.Context(), time.Now().Add(3 * lastRequest)}); done <- true }()
+	go func() {
+		served.shutdown(deadlineContext{t.Context(), time.Now().Add(3 * lastRequestTimeout)})
+		done <- true
+	}()
 	await(t, done, "end of the shutdown while the client sends on")
 	await(t, ended, "end of the connection")
 }
 
 // A client that has only just connected when the sender stops is given a moment for its first request, which would
 // fail with the connection; one that sends nothing does not hold the shutdown up.
-func TestShutdownAnswersAFirstRequest(t *testing.T) {
-	served, ln := clientsOnly(t)
-	c, silent := dial(t, ln.Addr().String()), dial(t, ln.Addr().String())
-	for stop := time.Now().Add(patience); ; {
+func TestShutdownAnswersFirstRequestOfNewClient(t *testing.T) {
+	served, ln := serveClientsOnly(t)
+	c, silent := dialClient(t, ln.Addr().String()), dialClient(t, ln.Addr().String())
+	for stop := time.Now().Add(testTimeout); ; {
 		served.mu.Lock()
 		n := len(served.conns)
 		served.mu.Unlock()
@@ -88,9 +91,9 @@
 	}
 	served.mu.Lock()
 	for conn, x := range served.conns { // one has only just come, the other's moment is over
-		x.since = time.Now().Add(-firstRequest)
+		x.idleSince = time.Now().Add(-firstRequestGrace)
 		if conn.RemoteAddr().String() == c.conn.LocalAddr().String() {
-			x.since = time.Now().Add(patience)
+			x.idleSince = time.Now().Add(testTimeout)
 		}
 	}
 	served.mu.Unlock()
@@ -98,13 +101,13 @@
 	go func() { served.shutdown(t.Context()); done <- true }()
 	for !served.isClosing() {
 	}
-	if got := silent.line(); got != "" {
+	if got := silent.readLine(); got != "" {
 		t.Errorf("a silent client got %q", got)
 	}
 	if got := c.do("PING"); got != "+PONG" {
 		t.Errorf("first request: %q", got)
 	}
-	if got := c.line(); got != "" {
+	if got := c.readLine(); got != "" {
 		t.Errorf("the connection goes on with %q", got)
 	}
 	await(t, done, "end of the shutdown")
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -13,11 +13,11 @@
 	"crossdeal/logic"
 )
 
-// bigNode is the owner of a state with so many destinations of two endpoints each, all of which served some messages,
+// newLargeNode is the owner of a state with so many destinations of two endpoints each, all of which served some messages,
 // as far as a transfer needs it.
-func bigNode(t testing.TB, dests int) *Node {
+func newLargeNode(t testing.TB, dests int) *Node {
 	t.Helper()
-	cfg := bigConfig(t)
+	cfg := newLargeConfig(t)
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -27,7 +27,7 @@
 		rows = append(rows, discovery.Instance{ID: fmt.Sprintf("instance-%06d", i), HostPort: fmt.Sprintf("10.%d.%d.%d:8080",
 			i>>16, i>>8&255, i&255), Zone: "a", Kind: "std", Dest: int64(i / 2), Lifecycle: "up", Weight: 30})
 	}
-	entries := n.dir.Apply(&discovery.Update{Generation: 1, Whole: true, Rows: rows}, time.Now())
+	entries := n.directory.Apply(&discovery.Update{Generation: 1, Whole: true, Rows: rows}, time.Now())
 	n.sender.Step(0, []logic.Event{logic.ListUpdate{Form: logic.ListFull, Entries: entries}})
 	now, id := logic.Micros(0), 0
 	for range 3 {
@@ -47,33 +47,33 @@
 	return n
 }
 
-func bigConfig(t testing.TB) *Config {
+func newLargeConfig(t testing.TB) *Config {
 	t.Helper()
-	cfg, err := ParseConfig(configText(&platform{srv: &httptest.Server{URL: "http://127.0.0.1:1"}}, discovery.List{}))
+	cfg, err := ParseConfig(configText(&testPlatform{server: &httptest.Server{URL: "http://127.0.0.1:1"}}, discovery.List{}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	cfg.StateDir = t.TempDir()
-	cfg.Deploy.Settings.Senders, cfg.Deploy.Settings.Slots = 540, 4000
+	cfg.Deployment.Settings.Senders, cfg.Deployment.Settings.Slots = 540, 4000
 	return cfg
 }
 
-// transfer lets a new node take over from an owner through a socket and returns it, with the time that neither decided.
-func transfer(t testing.TB, owner *Node, word string) (*Node, time.Duration, int) {
+// transferState lets a new node take over from an owner through a socket and returns it, with the time that neither decided.
+func transferState(t testing.TB, owner *Node, word string) (*Node, time.Duration, int) {
 	t.Helper()
 	dir := owner.cfg.StateDir
 	var err error
-	if owner.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+	if owner.listener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	defer owner.ln.Close()
+	defer owner.listener.Close()
 	ln, err := listenHandover(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	go owner.meet(t.Context(), ln)
-	cfg := bigConfig(t)
+	go owner.acceptSuccessors(t.Context(), ln)
+	cfg := newLargeConfig(t)
 	cfg.StateDir = dir
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -84,23 +84,23 @@
 	go func() {
 		to := <-owner.successors
 		defer to.conn.Close()
-		p, conns, _ := owner.pack(to.inRows)
-		err := owner.send(to, p, conns, nil)
-		size = p.size
+		p, conns, _ := owner.packState(to.takesRows)
+		err := owner.sendState(to, p, conns, nil)
+		size = p.bytesSent
 		sent <- err
 	}()
-	l, err := n.askOwner(word)
+	l, err := n.requestState(word)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.taken()
+	l.acknowledge()
 	n.adopt(t.Context(), l)
 	took := time.Since(start)
 	if err := <-sent; err != nil {
 		t.Fatal(err)
 	}
 	n.journal.Close()
-	n.lock.Close()
+	n.lockFile.Close()
 	l.listener.Close()
 	return n, took, size
 }
@@ -109,16 +109,16 @@
 // decides, and what is allocated for it on both sides.
 func BenchmarkTransfer(b *testing.B) {
 	for _, dests := range []int{1000, 10_000, 100_000} {
-		for _, word := range []string{handWord, handRows} {
+		for _, word := range []string{handoverRequestText, handoverRequestRows} {
 			b.Run(fmt.Sprintf("dests=%d/%s", dests, word[len("take "):]), func(b *testing.B) {
-				owner := bigNode(b, dests)
+				owner := newLargeNode(b, dests)
 				for b.Loop() {
 					b.StopTimer()
 					runtime.GC()
 					var before, after runtime.MemStats
 					runtime.ReadMemStats(&before)
 					b.StartTimer()
-					n, took, size := transfer(b, owner, word)
+					n, took, size := transferState(b, owner, word)
 					b.ReportMetric(float64(size)/1e6, "MB-sent")
 					b.StopTimer()
 					runtime.ReadMemStats(&after)
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	closeWait = 50 * time.Millisecond // for a peer to acknowledge the last that was written, before the close
-	closeLook = time.Millisecond
+	closeAckTimeout      = 50 * time.Millisecond // for a peer to acknowledge the last that was written, before the close
+	closeAckPollInterval = time.Millisecond
 )
 
-// awaitDelivery ends the sending and waits, for a moment at most, until the peer has acknowledged all that was written: the
+// awaitAck ends the sending and waits, for a moment at most, until the peer has acknowledged all that was written: the
 // reset that a close over unread bytes sends would overtake those that are still under way. It reads nothing. The end of
 // the sending counts as one byte and is acknowledged without delay.
-func awaitDelivery(conn net.Conn) {
+func awaitAck(conn net.Conn) {
 	half, ok := conn.(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
 		return
 	}
-	for by := time.Now().Add(closeWait); time.Now().Before(by); time.Sleep(closeLook) {
-		left, err := socketCount(conn, unix.SIOCOUTQ)
+	for by := time.Now().Add(closeAckTimeout); time.Now().Before(by); time.Sleep(closeAckPollInterval) {
+		left, err := socketByteCount(conn, unix.SIOCOUTQ)
 		if err == nil && left == 0 {
 			return
 		}
@@ -36,9 +36,9 @@
 	}
 }
 
-// peek looks at a connection without reading or waiting: whether the peer has it
+// peekConn looks at a connection without reading or waiting: whether the peer has it
 // open still, and whether something has come.
-func peek(conn net.Conn) (alive, data bool) {
+func peekConn(conn net.Conn) (alive, data bool) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return false, false
@@ -58,24 +58,24 @@
 
 // hasData says whether something can be read without waiting.
 func hasData(conn net.Conn) bool {
-	_, data := peek(conn)
+	_, data := peekConn(conn)
 	return data
 }
 
-// available is the number of bytes that can be read without waiting.
-func available(conn net.Conn) int {
+// availableBytes is the number of bytes that can be read without waiting.
+func availableBytes(conn net.Conn) int {
 	if !hasData(conn) {
 		return 0
 	}
-	count, err := socketCount(conn, unix.SIOCINQ)
+	count, err := socketByteCount(conn, unix.SIOCINQ)
 	if err != nil {
-		return maxBulk + maxRest // the system does not tell
+		return maxBulkBytes + maxOverheadBytes // the system does not tell
 	}
 	return count
 }
 
-// socketCount asks the system for a count of bytes that it holds for a connection.
-func socketCount(conn net.Conn, request uint) (count int, err error) {
+// socketByteCount asks the system for a count of bytes that it holds for a connection.
+func socketByteCount(conn net.Conn, request uint) (count int, err error) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0, errors.ErrUnsupported
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -23,20 +23,20 @@
 // takeover is what a process has been handed: the state, and what its descriptors became.
 type takeover struct {
 	stateTransfer
-	names    []listedName
-	listener net.Listener
-	conns    []net.Conn // of Calls, Idle and Clients
-	taken    func()     // says so to the process before
+	names       []nameRow
+	listener    net.Listener
+	conns       []net.Conn // of Calls, Idle and Clients
+	acknowledge func()     // says so to the process before
 }
 
-// goOn waits for the answer to a call that was set aside.
-func (n *Node) goOn(work context.Context, h *held, conn *idleConn) {
+// resumeCall waits for the answer to a call that was set aside.
+func (n *Node) resumeCall(work context.Context, h *heldMessage, conn *endpointConn) {
 	ctx, stop := context.WithCancelCause(work)
-	h.stop = stop
+	h.cancelCall = stop
 	in := h.call
 	go func() {
-		r := n.caller.await(ctx, in, conn, in.at.Add(in.giveUp))
-		n.events <- replyEvent{in, r, time.Since(in.at)}
+		r := n.transport.awaitResponse(ctx, in, conn, in.startedAt.Add(in.timeout))
+		n.events <- replyEvent{in, r, time.Since(in.startedAt)}
 	}()
 }
 
@@ -44,35 +44,35 @@
 func (n *Node) takeOver(ctx context.Context) (*takeover, error) {
 	tooMuch := false // then only the owner's end helps: each request would keep it from its work
 	for tries := 0; ; tries++ {
-		l, err := n.askOwner(handRows)
-		if errors.Is(err, errForm) && !tooMuch {
-			l, err = n.askOwner(handWord)
-			tooMuch = errors.Is(err, errTooMuch)
+		l, err := n.requestState(handoverRequestRows)
+		if errors.Is(err, errHandoverFormat) && !tooMuch {
+			l, err = n.requestState(handoverRequestText)
+			tooMuch = errors.Is(err, errStateTooLarge)
 		}
 		if err == nil {
 			return l, nil
 		}
-		if errors.Is(err, errBroken) {
+		if errors.Is(err, errTransferBroken) {
 			n.log.Warn("takeover", "err", err)
 		}
 		if tries == 0 {
 			n.log.Info("waiting for the owner of the state", "why", err)
 		}
-		if err := n.own(); !errors.Is(err, errLocked) {
+		if err := n.acquireState(); !errors.Is(err, errStateLocked) {
 			return nil, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(handPause):
+		case <-time.After(handoverRetryDelay):
 		}
 	}
 }
 
-// askOwner asks the owner of the state for all that it has, with a word for the form. What is wrong shows before it is taken, so that the owner
+// requestState asks the owner of the state for all that it has, with a word for the form. What is wrong shows before it is taken, so that the owner
 // goes on.
-func (n *Node) askOwner(word string) (_ *takeover, err error) {
-	path, d, err := socketPath(n.cfg.StateDir)
+func (n *Node) requestState(word string) (_ *takeover, err error) {
+	path, d, err := handoverSocketPath(n.cfg.StateDir)
 	if err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 			return
 		}
 		if begun {
-			err = fmt.Errorf("%w: %w", errBroken, err)
+			err = fmt.Errorf("%w: %w", errTransferBroken, err)
 		}
 		conn.Close()
 		for _, f := range files {
@@ -112,19 +112,19 @@
 	}
 	var head [8]byte
 	if _, err := io.ReadFull(conn, head[:]); err != nil { // its death ends the wait
-		return nil, fmt.Errorf("%w: %w", errForm, err)
+		return nil, fmt.Errorf("%w: %w", errHandoverFormat, err)
 	}
 	begun = true
 	count, size := int(binary.LittleEndian.Uint32(head[:4])), int(binary.LittleEndian.Uint32(head[4:]))
 	for len(files) < count {
-		more, err := readFiles(conn)
+		more, err := receiveDescriptors(conn)
 		if err != nil {
 			return nil, err
 		}
 		files = append(files, more...)
 	}
-	if size > mostText {
-		return nil, fmt.Errorf("%w: %d bytes", errTooMuch, size)
+	if size > maxStateTextBytes {
+		return nil, fmt.Errorf("%w: %d bytes", errStateTooLarge, size)
 	}
 	text := make([]byte, size)
 	if _, err := io.ReadFull(conn, text); err != nil {
@@ -136,10 +136,10 @@
 	if len(files) != 2+len(l.Calls)+len(l.Idle)+len(l.Clients) {
 		return nil, fmt.Errorf("a state with %d descriptors", len(files))
 	}
-	if word == handRows {
-		n.sender, err = logic.ResumeFromRows(n.cfg.Deploy.Settings, n.cfg.Seed, l.Module, l.readRows(conn))
+	if word == handoverRequestRows {
+		n.sender, err = logic.ResumeFromRows(n.cfg.Deployment.Settings, n.cfg.Seed, l.Module, l.readRows(conn))
 	} else {
-		n.sender, err = logic.Resume(n.cfg.Deploy.Settings, n.cfg.Seed, l.Module)
+		n.sender, err = logic.Resume(n.cfg.Deployment.Settings, n.cfg.Seed, l.Module)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
@@ -159,17 +159,17 @@
 	if n.journal, err = n.openJournal(); err != nil {
 		return nil, err
 	}
-	n.lock = files[0]
-	l.taken = func() {
-		io.WriteString(conn, handTaken) // an owner that has gone meanwhile need not know
+	n.lockFile = files[0]
+	l.acknowledge = func() {
+		io.WriteString(conn, handoverAck) // an owner that has gone meanwhile need not know
 		conn.Close()
 	}
 	return l, nil
 }
 
-// readFiles takes one message with descriptors.
-func readFiles(conn *net.UnixConn) ([]*os.File, error) {
-	oob := make([]byte, syscall.CmsgSpace(4*handBatch))
+// receiveDescriptors takes one message with descriptors.
+func receiveDescriptors(conn *net.UnixConn) ([]*os.File, error) {
+	oob := make([]byte, syscall.CmsgSpace(4*maxDescriptorsPerMessage))
 	var b [1]byte
 	_, k, flags, _, err := conn.ReadMsgUnix(b[:], oob)
 	if err != nil {
@@ -198,38 +198,38 @@
 // adopt goes on with what another process has handed over.
 func (n *Node) adopt(work context.Context, l *takeover) {
 	n.clock.Follow(l.At)
-	n.start = n.clock.Time(l.At).Add(-span(l.Clock))
+	n.startedAt = n.clock.Time(l.At).Add(-toDuration(l.Clock))
 	for _, x := range l.names {
-		n.dir.Adopt(x.name, x.id, x.to)
+		n.directory.Adopt(x.name, x.id, x.target)
 	}
 	l.names, l.Module = nil, logic.Saved{}
 	for name, id := range l.IDs {
 		t := l.Targets[id]
-		n.dir.Adopt(name, id, discovery.Target{Addr: t.Addr, Zone: t.Zone, Dest: t.Dest, Kind: t.Kind,
+		n.directory.Adopt(name, id, discovery.Target{Addr: t.Addr, Zone: t.Zone, Dest: t.Dest, Kind: t.Kind,
 			Lifecycle: t.Lifecycle, Weight: t.Weight})
 	}
 	known := int64(-1)
-	if l.Discovery == n.disc.Address() && l.Generation != 0 {
-		known, n.generation = l.Generation, l.Generation
+	if l.Discovery == n.watcher.Address() && l.Generation != 0 {
+		known, n.listGeneration = l.Generation, l.Generation
 	}
-	n.matchSaved(l.Discovery, l.Generation)
-	n.disc.Begin(known, true) // this is no first start: the watch goes on at once
+	n.matchSavedList(l.Discovery, l.Generation)
+	n.watcher.Begin(known, true) // this is no first start: the watch goes on at once
 	for id, t := range l.Recent {
-		n.recent[id] = n.clock.Time(t)
+		n.recentIDs[id] = n.clock.Time(t)
 	}
 	for _, e := range n.journal.Entries() {
-		if e.End != nil {
-			n.notices.add(*e.End)
+		if e.EndNotice != nil {
+			n.notices.add(*e.EndNotice)
 		}
 	}
 	for _, x := range l.Held {
-		h := &held{msg: &Message{ID: x.ID, Deadline: x.Deadline}, tries: x.Tries, over: x.Over}
-		if e := n.journal.Entry(x.ID); e != nil && e.End == nil {
-			h.msg = &e.Message
+		h := &heldMessage{message: &Message{ID: x.ID, Deadline: x.Deadline}, attempts: x.Tries, ended: x.Over}
+		if e := n.journal.Entry(x.ID); e != nil && e.EndNotice == nil {
+			h.message = &e.Message
 		}
 		n.held[x.ID] = h
-		if !h.over {
-			n.open++
+		if !h.ended {
+			n.openMessages++
 		}
 	}
 	conns := l.conns
@@ -242,25 +242,25 @@
 			conns = conns[1:]
 			continue
 		}
-		h.call = &call{id: x.ID, attempt: x.Attempt, ep: x.Endpoint, addr: n.target(x.Endpoint).Addr,
-			at: n.clock.Time(x.At), giveUp: time.Duration(x.By-x.At) * time.Microsecond,
+		h.call = &call{id: x.ID, attempt: x.Attempt, endpoint: x.Endpoint, addr: n.target(x.Endpoint).Addr,
+			startedAt: n.clock.Time(x.At), timeout: time.Duration(x.By-x.At) * time.Microsecond,
 			request: &http.Request{Method: http.MethodPost}, state: new(atomic.Int32)}
 		h.call.state.Store(callSent)
 		if conns[0] == nil {
-			h.stop = func(error) {}
-			n.take(replyEvent{h.call, result{outcome: logic.ConnBroken}, time.Since(h.call.at)})
+			h.cancelCall = func(error) {}
+			n.handleEvent(replyEvent{h.call, callResult{outcome: logic.ConnBroken}, time.Since(h.call.startedAt)})
 		} else {
-			n.goOn(work, h, begunConn(conns[0], h.call.addr, x.Got))
+			n.resumeCall(work, h, newEndpointConnWithData(conns[0], h.call.addr, x.Got))
 		}
 		conns = conns[1:]
 	}
 	for _, x := range l.Idle {
 		if conn := conns[0]; conn != nil {
-			kept := newIdleConn(conn, n.target(x.Endpoint).Addr)
-			if !n.caller.put(x.Endpoint, kept) {
+			kept := newEndpointConn(conn, n.target(x.Endpoint).Addr)
+			if !n.transport.putIdle(x.Endpoint, kept) {
 				conn.Close()
 			}
-			kept.since = n.clock.Time(x.Since)
+			kept.idleSince = n.clock.Time(x.Since)
 		}
 		conns = conns[1:]
 	}
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -33,7 +33,7 @@
 	Idle       []transferIdle
 	Clients    []transferClient
 
-	size int // bytes sent of it
+	bytesSent int // bytes sent of it
 }
 
 type transferTarget struct {
@@ -69,30 +69,30 @@
 	Proven bool
 }
 
-// listedName is a name with its number and target, as a row.
-type listedName struct {
-	name string
-	id   logic.EndpointID
-	to   discovery.Target
+// nameRow is a name with its number and target, as a row.
+type nameRow struct {
+	name   string
+	id     logic.EndpointID
+	target discovery.Target
 }
 
-const rowName = 'n' // the module's rows begin with other letters
+const nameRowTag = 'n' // the module's rows begin with other letters
 
-func (x *listedName) row(b []byte) []byte {
-	b = append(b, rowName)
+func (x *nameRow) appendTo(b []byte) []byte {
+	b = append(b, nameRowTag)
 	b = append(binary.AppendUvarint(b, uint64(len(x.name))), x.name...)
 	b = binary.AppendUvarint(b, uint64(x.id))
-	b = append(binary.AppendUvarint(b, uint64(len(x.to.Addr))), x.to.Addr...)
-	b = binary.AppendVarint(b, int64(x.to.Zone))
-	b = binary.AppendVarint(b, int64(x.to.Kind))
-	b = binary.AppendVarint(b, x.to.Dest)
-	b = append(binary.AppendUvarint(b, uint64(len(x.to.Lifecycle))), x.to.Lifecycle...)
-	return binary.LittleEndian.AppendUint64(b, math.Float64bits(x.to.Weight))
+	b = append(binary.AppendUvarint(b, uint64(len(x.target.Addr))), x.target.Addr...)
+	b = binary.AppendVarint(b, int64(x.target.Zone))
+	b = binary.AppendVarint(b, int64(x.target.Kind))
+	b = binary.AppendVarint(b, x.target.Dest)
+	b = append(binary.AppendUvarint(b, uint64(len(x.target.Lifecycle))), x.target.Lifecycle...)
+	return binary.LittleEndian.AppendUint64(b, math.Float64bits(x.target.Weight))
 }
 
-// readName is the other way round. What follows the fields is a later version's; an earlier one's end with the
+// parseNameRow is the other way round. What follows the fields is a later version's; an earlier one's end with the
 // destination.
-func readName(row []byte) (x listedName, err error) {
+func parseNameRow(row []byte) (x nameRow, err error) {
 	b, bad := row[1:], false
 	number := func() uint64 {
 		v, n := binary.Uvarint(b)
@@ -113,11 +113,11 @@
 		return s
 	}
 	x.name, x.id = text(), logic.EndpointID(number())
-	x.to = discovery.Target{Addr: text(), Zone: int(signed()), Kind: int(signed()), Dest: signed()}
+	x.target = discovery.Target{Addr: text(), Zone: int(signed()), Kind: int(signed()), Dest: signed()}
 	if len(b) > 0 {
-		x.to.Lifecycle = text()
+		x.target.Lifecycle = text()
 		if bad = bad || len(b) < 8; !bad {
-			x.to.Weight = math.Float64frombits(binary.LittleEndian.Uint64(b))
+			x.target.Weight = math.Float64frombits(binary.LittleEndian.Uint64(b))
 		}
 	}
 	if bad {
@@ -126,9 +126,9 @@
 	return x, err
 }
 
-// names counts those that have a number.
-func (n *Node) names() (count int) {
-	for range n.dir.Names() {
+// nameCount counts those that have a number.
+func (n *Node) nameCount() (count int) {
+	for range n.directory.Names() {
 		count++
 	}
 	return count
@@ -148,10 +148,10 @@
 			return
 		}
 	}
-	for name, id := range n.dir.Names() {
-		x := listedName{name: name, id: id}
-		x.to, _ = n.dir.Target(id)
-		buf = x.row(buf[:0])
+	for name, id := range n.directory.Names() {
+		x := nameRow{name: name, id: id}
+		x.target, _ = n.directory.Target(id)
+		buf = x.appendTo(buf[:0])
 		if !write(buf) {
 			return
 		}
@@ -163,11 +163,11 @@
 func (l *takeover) readRows(from io.Reader) iter.Seq2[[]byte, error] {
 	return func(yield func([]byte, error) bool) {
 		in := bufio.NewReaderSize(from, 1<<16)
-		l.names = make([]listedName, 0, min(max(l.Names, 0), 1<<20))
+		l.names = make([]nameRow, 0, min(max(l.Names, 0), 1<<20))
 		var row []byte
 		for {
 			size, err := binary.ReadUvarint(in)
-			if err == nil && size > mostRow {
+			if err == nil && size > maxRowBytes {
 				err = fmt.Errorf("a row of %d bytes", size)
 			}
 			if err != nil {
@@ -182,8 +182,8 @@
 				yield(nil, err)
 				return
 			}
-			if row[0] == rowName {
-				x, err := readName(row)
+			if row[0] == nameRowTag {
+				x, err := parseNameRow(row)
 				if err != nil {
 					yield(nil, err)
 					return
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -23,15 +23,15 @@
 	"crossdeal/logic"
 )
 
-// formOne is the folder of a process of the version before the tables went row by row, and what it said to a successor:
+// previousFormatDir is the folder of a process of the version before the tables went row by row, and what it said to a successor:
 // 14 messages delivered at s-0, s-1 taken out by an operator, the call of "out" under way at s-0, "w" told to come again
 // in 60 s at s-w, s-u draining. Addresses are placeholders. Its times are moved to the present here.
-const formOne = "testdata/form1"
+const previousFormatDir = "testdata/form1"
 
-// recordedText is what that process said, its endpoints at other addresses.
-func recordedText(t *testing.T, addrs ...string) []byte {
+// recordedState is what that process said, its endpoints at other addresses.
+func recordedState(t *testing.T, addrs ...string) []byte {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join(formOne, "transfer.json"))
+	text, err := os.ReadFile(filepath.Join(previousFormatDir, "transfer.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,23 +53,23 @@
 	return text
 }
 
-// recordedFolder is a copy of the folder.
-func recordedFolder(t *testing.T) string {
+// copyRecordedDir is a copy of the folder.
+func copyRecordedDir(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	text, err := os.ReadFile(filepath.Join(formOne, journalName))
+	text, err := os.ReadFile(filepath.Join(previousFormatDir, journalFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, journalName), text, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, journalFileName), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return dir
 }
 
-// playOwner stands for that process: it knows one form, and hands over once it is asked in that. What it was asked
+// serveRecordedState stands for that process: it knows one form, and hands over once it is asked in that. What it was asked
 // and told comes out.
-func playOwner(t *testing.T, dir string, text []byte, conns ...syscall.Conn) <-chan string {
+func serveRecordedState(t *testing.T, dir string, text []byte, conns ...syscall.Conn) <-chan string {
 	t.Helper()
 	lock, err := lockState(dir)
 	if err != nil {
@@ -114,9 +114,9 @@
 
 // A process of the version before hands over in its form, and its folder goes on: the call that is out, the told wait,
 // what an operator took out, the client's connection and what was learned.
-func TestUpgradeFromTheFormBefore(t *testing.T) {
-	p, dir := newPlatform(t), recordedFolder(t)
-	a, b, w := newEndpoint(t), newEndpoint(t), newEndpoint(t)
+func TestUpgradeFromPreviousFormat(t *testing.T) {
+	p, dir := newTestPlatform(t), copyRecordedDir(t)
+	a, b, w := newTestEndpoint(t), newTestEndpoint(t), newTestEndpoint(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -132,20 +132,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := dial(t, ln.Addr().String())
+	c := dialClient(t, ln.Addr().String())
 	client, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard := playOwner(t, dir, recordedText(t, a.addr(), b.addr(), w.addr()), ln.(*net.TCPListener), out.(*net.TCPConn),
+	heard := serveRecordedState(t, dir, recordedState(t, a.addr(), b.addr(), w.addr()), ln.(*net.TCPListener), out.(*net.TCPConn),
 		idle.(*net.TCPConn), client.(*net.TCPConn))
 	known := discovery.List{Generation: 7, Reset: true, Instances: []discovery.Instance{
 		{ID: "s-0", HostPort: a.addr(), Zone: "a", Kind: "std", Dest: 1, Lifecycle: "up", Weight: 100},
 		{ID: "s-1", HostPort: b.addr(), Zone: "b", Kind: "std", Dest: 1, Lifecycle: "up", Weight: 100},
 		{ID: "s-w", HostPort: w.addr(), Zone: "a", Kind: "std", Dest: 2, Lifecycle: "up", Weight: 100}}}
 	p.list = known
-	n := adminNode(t, p, dir, known)
-	for _, want := range []string{handRows + " -", "take 1 -", "taken"} {
+	n := startNodeWithAdmin(t, p, dir, known)
+	for _, want := range []string{handoverRequestRows + " -", "take 1 -", "taken"} {
 		got := await(t, heard, "word")
 		if got, _, _ = strings.Cut(got, "127"); strings.TrimSpace(strings.TrimSuffix(got, "-")) != strings.TrimSuffix(want, " -") {
 			t.Errorf("the new process said %q, want %q", got, want)
@@ -171,14 +171,14 @@
 	if x := await(t, p.notices, "notice"); x.ID != "w2" || x.State != "returned" {
 		t.Errorf("notice %+v, want that w2 is returned: the told wait still holds", x)
 	}
-	w.none(t)
-	b.none(t)
-	wantAnswer(t, n.admin.address().String(), "enable-server s-1", "ok")
+	w.expectNoCall(t)
+	b.expectNoCall(t)
+	expectOperatorAnswer(t, n.admin.address().String(), "enable-server s-1", "ok")
 }
 
 // What this version says to a process of the version before is what that one would have said itself, field by field.
-func TestSaysTheFormBefore(t *testing.T) {
-	text := recordedText(t)
+func TestStateInPreviousFormatIsUnchanged(t *testing.T) {
+	text := recordedState(t)
 	var want, got map[string]any
 	if err := json.Unmarshal(text, &want); err != nil {
 		t.Fatal(err)
@@ -187,18 +187,18 @@
 	if err := json.Unmarshal(text, &l.stateTransfer); err != nil {
 		t.Fatal(err)
 	}
-	n, err := New(bigConfig(t), slog.New(slog.DiscardHandler))
+	n, err := New(newLargeConfig(t), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n.sender, err = logic.Resume(n.cfg.Deploy.Settings, 1, l.Module); err != nil {
+	if n.sender, err = logic.Resume(n.cfg.Deployment.Settings, 1, l.Module); err != nil {
 		t.Fatal(err)
 	}
 	for name, id := range l.IDs {
 		x := l.Targets[id]
-		n.dir.Adopt(name, id, discovery.Target{Addr: x.Addr, Zone: x.Zone, Dest: x.Dest, Kind: x.Kind})
+		n.directory.Adopt(name, id, discovery.Target{Addr: x.Addr, Zone: x.Zone, Dest: x.Dest, Kind: x.Kind})
 	}
-	p, _, _ := n.pack(false)
+	p, _, _ := n.packState(false)
 	p.At, p.Clock, p.Generation, p.Discovery = l.At, l.Clock, l.Generation, l.Discovery
 	p.Recent, p.Held, p.Calls, p.Idle, p.Clients = l.Recent, l.Held, l.Calls, l.Idle, l.Clients // not of the module
 	again, err := json.Marshal(p)
@@ -214,11 +214,11 @@
 }
 
 // The folder alone, after that process's death: its journal is read, and what is owed is told.
-func TestFolderOfTheFormBefore(t *testing.T) {
-	p, dir := newPlatform(t), recordedFolder(t)
-	known := discovery.List{Generation: 7, Reset: true, Instances: instances(newEndpoint(t))}
+func TestStateFolderOfPreviousFormat(t *testing.T) {
+	p, dir := newTestPlatform(t), copyRecordedDir(t)
+	known := discovery.List{Generation: 7, Reset: true, Instances: instancesOf(newTestEndpoint(t))}
 	p.list = known
-	n := adminNode(t, p, dir, known)
+	n := startNodeWithAdmin(t, p, dir, known)
 	got := map[string]string{}
 	for range 2 {
 		x := await(t, p.notices, "notice")
@@ -227,22 +227,22 @@
 	if got["out"] != "failed" || got["w"] != "returned" { // their time was up long ago; out may have run
 		t.Errorf("notices %v", got)
 	}
-	wantAnswer(t, n.admin.address().String(), "enable-server s-1", "ok")
+	expectOperatorAnswer(t, n.admin.address().String(), "enable-server s-1", "ok")
 }
 
 // Both forms carry the same, and a name with all of its fields.
-func TestTransferForms(t *testing.T) {
-	owner := bigNode(t, 300)
+func TestTransferFormatsCarrySameState(t *testing.T) {
+	owner := newLargeNode(t, 300)
 	for i, name := range []string{"", "far-away", "none"} {
-		owner.dir.Adopt(name, logic.EndpointID(100_000+i), discovery.Target{Addr: []string{"[::1]:9", "h:1", ""}[i], Zone: -1,
+		owner.directory.Adopt(name, logic.EndpointID(100_000+i), discovery.Target{Addr: []string{"[::1]:9", "h:1", ""}[i], Zone: -1,
 			Kind: -1, Dest: -1 << 62})
 	}
 	want, err := json.Marshal(owner.sender.Save())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, word := range []string{handWord, handRows} {
-		n, _, _ := transfer(t, owner, word)
+	for _, word := range []string{handoverRequestText, handoverRequestRows} {
+		n, _, _ := transferState(t, owner, word)
 		got, err := json.Marshal(n.sender.Save())
 		if err != nil {
 			t.Fatal(err)
@@ -251,17 +251,17 @@
 			t.Errorf("%s: the module's state differs", word)
 		}
 		count := 0
-		for name, id := range owner.dir.Names() {
+		for name, id := range owner.directory.Names() {
 			count++
-			a, _ := owner.dir.Target(id)
-			if b, _ := n.dir.Target(id); a != b && a.Addr != "" {
+			a, _ := owner.directory.Target(id)
+			if b, _ := n.directory.Target(id); a != b && a.Addr != "" {
 				t.Errorf("%s: %s is at %+v, want %+v", word, name, b, a)
 			}
-			if got, ok := n.dir.Lookup(name); !ok || got != id {
+			if got, ok := n.directory.Lookup(name); !ok || got != id {
 				t.Errorf("%s: %s has number %d, want %d", word, name, got, id)
 			}
 		}
-		if got := n.names(); got != count {
+		if got := n.nameCount(); got != count {
 			t.Errorf("%s: %d names, want %d", word, got, count)
 		}
 	}
@@ -269,28 +269,28 @@
 
 // A successor that stops to read does not keep the owner from its work for long, nor does one that breaks off in a row.
 func TestUpgradeSuccessorStalls(t *testing.T) {
-	p, e := newPlatform(t), newEndpoint(t)
-	known := discovery.List{Generation: 1, Reset: true, Instances: instances(e)}
+	p, e := newTestPlatform(t), newTestEndpoint(t)
+	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
 	for i := range 6000 { // more than a socket holds
 		known.Instances = append(known.Instances, discovery.Instance{ID: fmt.Sprintf("%0200d", i), HostPort: "127.0.0.1:9", Zone: "a",
 			Kind: "std", Dest: int64(i + 2), Lifecycle: "up", Weight: 100})
 	}
 	p.list = known
 	n := startNode(t, p, t.TempDir(), known)
-	c := dial(t, n.addr)
+	c := dialClient(t, n.addr)
 	for _, read := range []int{8, 400_000} {
-		conn, at := askAs(t, n.cfg.StateDir, handRows), time.Now()
+		conn, at := requestStateInFormat(t, n.cfg.StateDir, handoverRequestRows), time.Now()
 		for {
 			_, err := io.ReadFull(conn, make([]byte, read))
 			if err == nil {
 				break
 			}
-			if time.Since(at) > 2*handRest { // after one that failed the owner rests
+			if time.Since(at) > 2*handoverFailureDelay { // after one that failed the owner rests
 				t.Fatal(err)
 			}
 			conn.Close()
-			time.Sleep(handPause)
-			conn = askAs(t, n.cfg.StateDir, handRows)
+			time.Sleep(handoverRetryDelay)
+			conn = requestStateInFormat(t, n.cfg.StateDir, handoverRequestRows)
 		}
 		if read != 8 {
 			conn.Close()
@@ -299,7 +299,7 @@
 		at = time.Now()
 		c.put(id, "safe", "+OK")
 		in := await(t, e.calls, "call")
-		if took := time.Since(at); took > 2*handStall {
+		if took := time.Since(at); took > 2*handoverStallTimeout {
 			t.Errorf("served after %v", took)
 		}
 		in.reply(200)
@@ -309,12 +309,12 @@
 
 // A process of the version before, which takes all in one text, is told no before anything is frozen where that text
 // would be too long: the new one would refuse it, and ask again at once.
-func TestUpgradeTooMuchForOneText(t *testing.T) {
-	n, c, _, eps := world(t, 1)
-	for i := range mostText/textEach + 1 {
-		n.dir.Adopt(fmt.Sprintf("instance-%06d", i), logic.EndpointID(i+10), discovery.Target{Addr: "h:1"})
+func TestHandoverRefusedWhenStateTooLargeForOneText(t *testing.T) {
+	n, c, _, eps := startNodeWithEndpoints(t, 1)
+	for i := range maxStateTextBytes/minTextBytesPerName + 1 {
+		n.directory.Adopt(fmt.Sprintf("instance-%06d", i), logic.EndpointID(i+10), discovery.Target{Addr: "h:1"})
 	}
-	conn := askAs(t, n.cfg.StateDir, handWord)
+	conn := requestStateInFormat(t, n.cfg.StateDir, handoverRequestText)
 	if _, err := io.ReadFull(conn, make([]byte, 8)); err != io.EOF {
 		t.Errorf("got %v, want the end of the connection", err)
 	}
@@ -323,8 +323,8 @@
 }
 
 // An owner of the version before whose text is too long for one is asked for it once: it stands still meanwhile.
-func TestUpgradeFromTooLongAText(t *testing.T) {
-	dir := recordedFolder(t)
+func TestOversizedStateTextIsRequestedOnce(t *testing.T) {
+	dir := copyRecordedDir(t)
 	lock, err := lockState(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -343,15 +343,15 @@
 				return
 			}
 			line, _ := bufio.NewReader(conn).ReadString('\n')
-			if strings.HasPrefix(line, handWord) {
+			if strings.HasPrefix(line, handoverRequestText) {
 				head := binary.LittleEndian.AppendUint32(nil, 0)
-				conn.Write(binary.LittleEndian.AppendUint32(head, mostText+1))
+				conn.Write(binary.LittleEndian.AppendUint32(head, maxStateTextBytes+1))
 			}
-			asked <- line[:len(handWord)]
+			asked <- line[:len(handoverRequestText)]
 			conn.Close()
 		}
 	}()
-	cfg := bigConfig(t)
+	cfg := newLargeConfig(t)
 	cfg.StateDir = dir
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -364,7 +364,7 @@
 	}()
 	texts := 0
 	for range 6 {
-		if await(t, asked, "word") == handWord {
+		if await(t, asked, "word") == handoverRequestText {
 			texts++
 		}
 	}
