--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -8,41 +8,43 @@
 	"time"
 )
 
-// longestTransfer is the longest time that a state transfer takes. What the wall clock says beyond it is a step.
-const longestTransfer = 5 * time.Second
+// maxTransferTime is the longest time that a state transfer takes. What the wall clock says beyond it is a step.
+const maxTransferTime = 5 * time.Second
 
 // Clock is a time line in Unix microseconds. Make it with New. It may be used at any time from anywhere.
 type Clock struct {
-	start time.Time // with the monotonic clock's reading
-	base  atomic.Int64
+	startedAt  time.Time // with the monotonic clock's reading
+	baseMicros atomic.Int64
 }
 
 // New returns a clock that begins with the wall clock's time.
 func New() *Clock {
-	c := &Clock{start: time.Now()}
-	c.base.Store(c.start.UnixMicro())
+	c := &Clock{startedAt: time.Now()}
+	c.baseMicros.Store(c.startedAt.UnixMicro())
 	return c
 }
 
-// Now is the time in Unix microseconds.
-func (c *Clock) Now() int64 { return c.Micros(time.Now()) }
+// NowMicros is the time in Unix microseconds.
+func (c *Clock) NowMicros() int64 { return c.Micros(time.Now()) }
 
 // Micros is a reading of this process's clock on the time line. The reading must not have been stripped of its monotonic
 // part.
-func (c *Clock) Micros(t time.Time) int64 { return c.base.Load() + t.Sub(c.start).Microseconds() }
+func (c *Clock) Micros(t time.Time) int64 {
+	return c.baseMicros.Load() + t.Sub(c.startedAt).Microseconds()
+}
 
 // Time is a time of the time line as a reading of this process's clock, monotonic part and all: it compares with
 // time.Now whatever the wall clock says meanwhile.
 func (c *Clock) Time(micros int64) time.Time {
-	return c.start.Add(time.Duration(micros-c.base.Load()) * time.Microsecond)
+	return c.startedAt.Add(time.Duration(micros-c.baseMicros.Load()) * time.Microsecond)
 }
 
-// Follow goes on with the time line of another process on this machine, which was at then a short while ago.
-func (c *Clock) Follow(then int64) {
+// ContinueFrom goes on with the time line of another process on this machine, which was at then a short while ago.
+func (c *Clock) ContinueFrom(then int64) {
 	now := time.Now()
 	passed := time.Duration(now.UnixMicro()-then) * time.Microsecond
-	if passed < 0 || passed > longestTransfer {
+	if passed < 0 || passed > maxTransferTime {
 		passed = 0 // the wall clock has been stepped since that process began
 	}
-	c.base.Store(then + passed.Microseconds() - now.Sub(c.start).Microseconds())
+	c.baseMicros.Store(then + passed.Microseconds() - now.Sub(c.startedAt).Microseconds())
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,12 +7,12 @@
 )
 
 // A time of the time line compares with readings of the monotonic clock, and goes there and back unchanged.
-func TestTimeLine(t *testing.T) {
+func TestClockFollowsMonotonicTimeAndConvertsBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New()
-		begun := c.Now()
+		begun := c.NowMicros()
 		time.Sleep(3 * time.Second)
-		if got := c.Now() - begun; got != 3_000_000 {
+		if got := c.NowMicros() - begun; got != 3_000_000 {
 			t.Errorf("%d us passed in 3 s", got)
 		}
 		due := c.Time(begun + 5_000_000)
@@ -23,12 +23,12 @@
 }
 
 // The wall clock has been stepped by an hour since the start, either way: spans stay what they are.
-func TestStepsOfTheWallClock(t *testing.T) {
+func TestWallClockStepsDoNotChangeIntervals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, step := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second} {
 			c := New()
-			c.base.Add(step.Microseconds()) // as if it had begun before the step
-			due := c.Now() + 1_000_000
+			c.baseMicros.Add(step.Microseconds()) // as if it had begun before the step
+			due := c.NowMicros() + 1_000_000
 			time.Sleep(time.Second)
 			if got := time.Since(c.Time(due)); got != 0 {
 				t.Errorf("step %v: due %v ago after a second", step, got)
@@ -38,24 +38,24 @@
 }
 
 // A process that takes over goes on with the time of the one before, whose wall clock may have been another.
-func TestFollow(t *testing.T) {
+func TestContinueFromAnotherProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, x := range []struct{ step, transfer, passed time.Duration }{
 			{0, 40 * time.Millisecond, 40 * time.Millisecond}, {time.Hour, 40 * time.Millisecond, 0},
 			{-time.Hour, 40 * time.Millisecond, 0}, {-10 * time.Millisecond, 40 * time.Millisecond, 50 * time.Millisecond}} {
 			before := New()
-			before.base.Add(x.step.Microseconds())
+			before.baseMicros.Add(x.step.Microseconds())
 			time.Sleep(time.Second)
-			then := before.Now()
+			then := before.NowMicros()
 			time.Sleep(x.transfer)
 			after := New()
 			time.Sleep(time.Millisecond)
-			after.Follow(then)
+			after.ContinueFrom(then)
 			want := int64(0) // after a step the other process's time is taken as it was
 			if x.passed > 0 {
 				want = (x.passed + time.Millisecond).Microseconds()
 			}
-			if got := after.Now() - then; got != want {
+			if got := after.NowMicros() - then; got != want {
 				t.Errorf("%+v: goes on %d us later, want %d", x, got, want)
 			}
 		}
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -13,19 +13,19 @@
 	"time"
 )
 
-// script is a discovery whose every answer a test gives by hand.
-type script struct {
-	srv     *httptest.Server
-	asked   chan string // query of each call
-	answers chan string // the next answer; "" is a call that falls silent, with its connection open
-	late    chan string // what calls that fell silent get at last
+// scriptedDiscovery is a discovery whose every answer a test gives by hand.
+type scriptedDiscovery struct {
+	server      *httptest.Server
+	queries     chan string // query of each call
+	answers     chan string // the next answer; "" is a call that falls silent, with its connection open
+	lateAnswers chan string // what calls that fell silent get at last
 }
 
-func newScript(t *testing.T) *script {
+func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
 	t.Helper()
-	s := &script{asked: make(chan string, 64), answers: make(chan string, 64), late: make(chan string, 64)}
-	s.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.asked <- r.URL.RawQuery
+	s := &scriptedDiscovery{queries: make(chan string, 64), answers: make(chan string, 64), lateAnswers: make(chan string, 64)}
+	s.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		s.queries <- r.URL.RawQuery
 		var text string
 		select {
 		case text = <-s.answers:
@@ -33,40 +33,40 @@
 			return
 		}
 		if text == "" {
-			text = <-s.late
+			text = <-s.lateAnswers
 		}
 		io.WriteString(w, text)
 	}))
-	t.Cleanup(func() { close(s.late); s.srv.CloseClientConnections(); s.srv.Close() })
+	t.Cleanup(func() { close(s.lateAnswers); s.server.CloseClientConnections(); s.server.Close() })
 	return s
 }
 
-func (s *script) addr() string { return strings.TrimPrefix(s.srv.URL, "http://") }
+func (s *scriptedDiscovery) address() string { return strings.TrimPrefix(s.server.URL, "http://") }
 
-// lines is a log that tests look into.
-type lines struct {
+// logBuffer is a log that tests look into.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *lines) count(what string) int {
+func (l *logBuffer) count(what string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), what)
 }
 
-// watchOf watches a script from generation 5 on, until the test ends.
-func watchOf(t *testing.T, s *script) (*Client, <-chan any, *lines) {
+// newWatchingClient watches a script from generation 5 on, until the test ends.
+func newWatchingClient(t *testing.T, s *scriptedDiscovery) (*Client, <-chan any, *logBuffer) {
 	t.Helper()
-	events, log := make(chan any, 64), &lines{}
-	d := newTestClient(s.addr(), 2, time.Second, 5, slog.New(slog.NewTextHandler(log, nil)), events)
-	d.gen, d.started = 5, true
+	events, log := make(chan any, 64), &logBuffer{}
+	d := newTestClient(s.address(), 2, time.Second, 5, slog.New(slog.NewTextHandler(log, nil)), events)
+	d.generation, d.hasList = 5, true
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan bool)
 	go func() { defer close(done); d.Watch(ctx) }()
@@ -74,25 +74,25 @@
 	return d, events, log
 }
 
-const good = "{\n \"generation\": 6,\n \"reset\": false,\n \"instances\": [\n  {\"instanceId\": \"a\", \"hostPort\": \"h:1\", \"cell\": 1, \"lifecycle\": \"up\"}\n ]\n}\n"
+const goodAnswer = "{\n \"generation\": 6,\n \"reset\": false,\n \"instances\": [\n  {\"instanceId\": \"a\", \"hostPort\": \"h:1\", \"cell\": 1, \"lifecycle\": \"up\"}\n ]\n}\n"
 
 // What makes no sense leaves the last good list in force, with a line in the log, and is asked for again at once: a
 // pause as after a discovery that is overbooked would miss what counts as told meanwhile.
-func TestNonsenseLeavesTheListInForce(t *testing.T) {
+func TestMalformedAnswerKeepsKnownList(t *testing.T) {
 	for _, nonsense := range []string{`{"generation":6,"reset":true,"instances":[{"inst`, `"x"`, `[]`, `{}`, `{"generation":"six"}`,
 		"<html>", `{"generation":4,"reset":true,"instances":[{"instanceId":"old","hostPort":"h:1","lifecycle":"up"}]}`,
 		`{"generation":6,"reset":true}`, `{"generation":6,"reset":true,"instances":null}`, `{"generation":4,"reset":false,"instances":[]}`, `{"generation":-1,"reset":true,"instances":[]}`} {
-		s := newScript(t)
-		_, events, log := watchOf(t, s)
+		s := newScriptedDiscovery(t)
+		_, events, log := newWatchingClient(t, s)
 		s.answers <- nonsense
-		s.answers <- good
+		s.answers <- goodAnswer
 		awaitUnusable(t, events, 1)
 		first := awaitEvent(t, events, "list")
 		if first.Err != nil || first.Update.Generation != 6 || len(first.Update.Rows) != 1 {
 			t.Errorf("%s: told %+v", nonsense, first)
 		}
 		for _, want := range []string{"from=5&hold_ms=4000", "from=5&hold_ms=1"} { // again, not waiting for more news
-			if q := await(t, s.asked, "call"); q != want {
+			if q := awaitValue(t, s.queries, "call"); q != want {
 				t.Errorf("%s: asked %q, want %q", nonsense, q, want)
 			}
 		}
@@ -106,8 +106,8 @@
 func awaitUnusable(t *testing.T, events <-chan any, count int) {
 	t.Helper()
 	for range count {
-		ev := await(t, events, "word of an answer that can't be used").(Event)
-		if !ev.Unusable || ev.Err != nil || ev.News {
+		ev := awaitValue(t, events, "word of an answer that can't be used").(Event)
+		if !ev.UnusableAnswer || ev.Err != nil || ev.HasUpdate {
 			t.Errorf("told %+v", ev)
 		}
 	}
@@ -116,29 +116,29 @@
 // The same list again changes nothing, and a discovery that keeps answering with older ones has begun its count anew:
 // then its whole list is asked for.
 func TestRepeatedAndRenumberedLists(t *testing.T) {
-	s := newScript(t)
-	_, events, _ := watchOf(t, s)
-	s.answers <- good
-	s.answers <- good
+	s := newScriptedDiscovery(t)
+	_, events, _ := newWatchingClient(t, s)
+	s.answers <- goodAnswer
+	s.answers <- goodAnswer
 	for range 2 {
 		if ev := awaitEvent(t, events, "list"); ev.Err != nil || ev.Update.Generation != 6 {
 			t.Errorf("told %+v", ev)
 		}
 	}
-	for range badMost {
+	for range maxBadAnswers {
 		s.answers <- `{"generation":2,"reset":false,"instances":[]}`
 	}
-	awaitUnusable(t, events, badMost)
+	awaitUnusable(t, events, maxBadAnswers)
 	if ev := awaitEvent(t, events, "failure"); ev.Err == nil {
 		t.Errorf("told %+v", ev)
 	}
 
-	s = newScript(t)
-	d, events, _ := watchOf(t, s)
-	for range badMost {
+	s = newScriptedDiscovery(t)
+	d, events, _ := newWatchingClient(t, s)
+	for range maxBadAnswers {
 		s.answers <- `{"generation":2,"reset":false,"instances":[]}`
 	}
-	awaitUnusable(t, events, badMost)
+	awaitUnusable(t, events, maxBadAnswers)
 	awaitEvent(t, events, "failure")
 	s.answers <- `{"generation":2,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`
 	go d.Watch(t.Context()) // as the module has it do
@@ -146,8 +146,8 @@
 		t.Errorf("told %+v", ev)
 	}
 	var last string
-	for range badMost + 1 {
-		last = await(t, s.asked, "call")
+	for range maxBadAnswers + 1 {
+		last = awaitValue(t, s.queries, "call")
 	}
 	if last != "" {
 		t.Errorf("asked %q, want the whole list", last)
@@ -155,40 +155,40 @@
 }
 
 // A watch that falls silent with its connection open is opened anew, and its late answer harms nothing.
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
-	s := newScript(t)
+func TestUnresponsiveWatchIsReopened(t *testing.T) {
+	s := newScriptedDiscovery(t)
 	events := make(chan any, 64)
-	d := newTestClient(s.addr(), 2, time.Second, 5, slog.New(slog.DiscardHandler), events)
-	d.gen, d.started, d.timing.hold = 5, true, time.Millisecond
+	d := newTestClient(s.address(), 2, time.Second, 5, slog.New(slog.DiscardHandler), events)
+	d.generation, d.hasList, d.timing.holdTime = 5, true, time.Millisecond
 	s.answers <- "" // silent
 	go d.Watch(t.Context())
 	if ev := awaitEvent(t, events, "end of the silent watch"); ev.Err == nil {
 		t.Fatalf("told %+v", ev)
 	}
-	s.answers <- good
+	s.answers <- goodAnswer
 	go d.Watch(t.Context())
 	if ev := awaitEvent(t, events, "list"); ev.Err != nil || ev.Update.Generation != 6 {
 		t.Fatalf("told %+v", ev)
 	}
-	s.late <- `{"generation":3,"reset":true,"instances":[]}` // written by the old call's side, after all
-	s.answers <- strings.Replace(good, "6", "7", 1)
+	s.lateAnswers <- `{"generation":3,"reset":true,"instances":[]}` // written by the old call's side, after all
+	s.answers <- strings.Replace(goodAnswer, "6", "7", 1)
 	if ev := awaitEvent(t, events, "next list"); ev.Err != nil || ev.Update.Generation != 7 {
 		t.Errorf("told %+v", ev)
 	}
 }
 
 // Discovery moves while its watch is silent: the new address is asked at once for the whole list.
-func TestMoveUnderASilentWatch(t *testing.T) {
-	s, next := newScript(t), newScript(t)
-	d, events, _ := watchOf(t, s)
+func TestAddressChangeDuringUnresponsiveWatch(t *testing.T) {
+	s, next := newScriptedDiscovery(t), newScriptedDiscovery(t)
+	d, events, _ := newWatchingClient(t, s)
 	s.answers <- ""
-	await(t, s.asked, "watch")
+	awaitValue(t, s.queries, "watch")
 	next.answers <- `{"generation":2,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`
-	d.Move(next.addr())
+	d.SetAddress(next.address())
 	if ev := awaitEvent(t, events, "list"); ev.Err != nil || ev.Update.Generation != 2 {
 		t.Errorf("told %+v", ev)
 	}
-	if q := await(t, next.asked, "call"); q != "" {
+	if q := awaitValue(t, next.queries, "call"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
 	}
 }
@@ -198,46 +198,46 @@
 // time; the first call does. It comes with a restart, since what it would tell counts as told, and within the grace of a
 // first start where the fleet is too large for its calls to spread. Where its answer is late, discovery is overbooked by
 // such calls, and each of many senders pauses.
-func TestWatchPausesWhereDiscoveryIsBusy(t *testing.T) {
+func TestWatchPausesWhenDiscoveryIsBusy(t *testing.T) {
 	for _, x := range []struct {
 		senders int
 		back    bool
 		late    time.Duration // of the first answer
 		soon    time.Duration // the first call comes within that
-	}{{2, false, 0, 0}, {10, false, 0, 10 * spreadEach}, {10, true, 4 * prompt, 0}, {10, true, 0, 0}, {300, true, 0, 0}, {300, false, 0, time.Second}} {
-		p := newSource(t)
+	}{{2, false, 0, 0}, {10, false, 0, 10 * pausePerSender}, {10, true, 4 * promptAnswerTime, 0}, {10, true, 0, 0}, {300, true, 0, 0}, {300, false, 0, time.Second}} {
+		p := newFakeDiscovery(t)
 		p.list = List{Generation: 3, Reset: true, Instances: []Instance{{ID: "a", HostPort: "h:1", Lifecycle: "up"}}}
-		p.late = x.late
+		p.nextAnswerDelay = x.late
 		events := make(chan any, 8)
-		d := newTestClient(strings.TrimPrefix(p.srv.URL, "http://"), x.senders, time.Second, 5, slog.New(slog.DiscardHandler), events)
-		d.gen, d.started, d.back = 2, true, x.back // the list of the configuration
+		d := newTestClient(strings.TrimPrefix(p.server.URL, "http://"), x.senders, time.Second, 5, slog.New(slog.DiscardHandler), events)
+		d.generation, d.hasList, d.restarted = 2, true, x.back // the list of the configuration
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		at := time.Now()
 		go func() { defer close(done); d.Watch(ctx) }()
 		first, watch := "from=2&hold_ms=4000", "from=4&hold_ms=4000"
-		if x.senders >= SpreadFrom {
+		if x.senders >= SpreadMinSenders {
 			first, watch = "from=2&hold_ms=1", "from=4&hold_ms=13000"
 		}
-		if query := await(t, p.asked, "first call"); query != first || time.Since(at) > x.soon+100*time.Millisecond {
+		if query := awaitValue(t, p.queries, "first call"); query != first || time.Since(at) > x.soon+100*time.Millisecond {
 			t.Errorf("%+v: %s %v after the start, want %s", x, query, time.Since(at), first)
 		}
 		awaitEvent(t, events, "list")
 		at = time.Now()
-		await(t, p.asked, "watch")
+		awaitValue(t, p.queries, "watch")
 		if gap := time.Since(at); gap > 100*time.Millisecond {
 			t.Errorf("%+v: the watch began %v after the list", x, gap)
 		}
-		<-time.After(busyAfter + 50*time.Millisecond)
-		p.set(func() {
+		<-time.After(busyAnswerTime + 50*time.Millisecond)
+		p.update(func() {
 			p.list = List{Generation: 4, Instances: []Instance{{ID: "a", HostPort: "h:1", Lifecycle: "up"}}}
 		})
 		awaitEvent(t, events, "news")
 		at = time.Now()
-		query := await(t, p.asked, "next watch")
+		query := awaitValue(t, p.queries, "next watch")
 		least := time.Duration(0)
 		if x.late > 0 {
-			least = time.Duration(x.senders) * spreadEach * 90 / 100
+			least = time.Duration(x.senders) * pausePerSender * 90 / 100
 		}
 		if gap := time.Since(at); gap < least || least == 0 && gap > 100*time.Millisecond || query != watch {
 			t.Errorf("%+v: %s after %v, want %s after %v at least", x, query, gap, watch, least)
@@ -249,20 +249,20 @@
 
 // A sender that pauses asks the new address at once when discovery moves: what it has to tell counts as told 4 s after
 // the signal, and a pause may last longer.
-func TestMoveEndsAPause(t *testing.T) {
-	p := newSource(t)
+func TestAddressChangeEndsPause(t *testing.T) {
+	p := newFakeDiscovery(t)
 	p.list = List{Generation: 3, Reset: true, Instances: []Instance{{ID: "a", HostPort: "h:1", Lifecycle: "up"}}}
-	p.late = busyAfter + 2*prompt
+	p.nextAnswerDelay = busyAnswerTime + 2*promptAnswerTime
 	events := make(chan any, 8)
-	d := newTestClient(strings.TrimPrefix(p.srv.URL, "http://"), 300, time.Second, 5, slog.New(slog.DiscardHandler), events)
+	d := newTestClient(strings.TrimPrefix(p.server.URL, "http://"), 300, time.Second, 5, slog.New(slog.DiscardHandler), events)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); d.Watch(ctx) }()
-	await(t, p.asked, "first call")
+	awaitValue(t, p.queries, "first call")
 	awaitEvent(t, events, "list")
 	at := time.Now()
-	d.Move(strings.TrimPrefix(p.srv.URL, "http://"))
-	if query := await(t, p.asked, "call to the new address"); query != "" || time.Since(at) > 500*time.Millisecond {
+	d.SetAddress(strings.TrimPrefix(p.server.URL, "http://"))
+	if query := awaitValue(t, p.queries, "call to the new address"); query != "" || time.Since(at) > 500*time.Millisecond {
 		t.Errorf("%q %v after the move, want the whole list at once", query, time.Since(at))
 	}
 	stop()
@@ -270,19 +270,19 @@
 }
 
 // A call that is out for longer than discovery takes to reject calls waits for news, and the loop is told so.
-func TestWatchThatWaitsIsTold(t *testing.T) {
-	p := newSource(t)
+func TestAcceptedWatchIsReported(t *testing.T) {
+	p := newFakeDiscovery(t)
 	p.list = List{Generation: 3, Reset: true, Instances: []Instance{}}
 	events := make(chan any, 8)
-	d := newTestClient(strings.TrimPrefix(p.srv.URL, "http://"), 2, time.Second, 5, slog.New(slog.DiscardHandler), events)
+	d := newTestClient(strings.TrimPrefix(p.server.URL, "http://"), 2, time.Second, 5, slog.New(slog.DiscardHandler), events)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); d.Watch(ctx) }()
-	if ev := awaitEvent(t, events, "list"); ev.Watched {
+	if ev := awaitEvent(t, events, "list"); ev.WatchAccepted {
 		t.Error("a list is told as a watch that waits")
 	}
 	at := time.Now()
-	if ev := awaitEvent(t, events, "a watch that waits"); !ev.Watched || time.Since(at) < 2*time.Second {
+	if ev := awaitEvent(t, events, "a watch that waits"); !ev.WatchAccepted || time.Since(at) < 2*time.Second {
 		t.Errorf("%+v after %v, want a watch that waits after the 2 s in which it may be turned away", ev, time.Since(at))
 	}
 	stop()
@@ -291,10 +291,10 @@
 
 // Whatever the number of senders, the answer after a pause comes before what changed since the last one counts as told
 // for longer than a drain's grace.
-func TestAnswersComeWithinListAge(t *testing.T) {
-	for _, senders := range []int{SpreadFrom, 36, 80, 1 << 40} {
+func TestAnswersArriveWithinMaxListAge(t *testing.T) {
+	for _, senders := range []int{SpreadMinSenders, 36, 80, 1 << 40} {
 		d := newTestClient("127.0.0.1:1", senders, time.Second, 5, slog.New(slog.DiscardHandler), nil)
-		if longest := d.timing.busyPause*108/100 + 2*time.Second; d.timing.busyPause <= 0 || longest > ListAge+time.Second {
+		if longest := d.timing.busyPause*108/100 + 2*time.Second; d.timing.busyPause <= 0 || longest > MaxListAge+time.Second {
 			t.Errorf("%d senders: an answer may come after %v", senders, longest)
 		}
 	}
@@ -302,35 +302,35 @@
 
 // A restarted sender, and one that takes over, goes on with the watch at once, however many senders there are: it is no
 // first start, whose calls are spread.
-func TestRestartWatchesAtOnce(t *testing.T) {
-	p := newSource(t)
-	d := newTestClient(strings.TrimPrefix(p.srv.URL, "http://"), 300, time.Second, 5, slog.New(slog.DiscardHandler), make(chan any, 8))
+func TestRestartedSenderWatchesWithoutDelay(t *testing.T) {
+	p := newFakeDiscovery(t)
+	d := newTestClient(strings.TrimPrefix(p.server.URL, "http://"), 300, time.Second, 5, slog.New(slog.DiscardHandler), make(chan any, 8))
 	d.timing.firstPause = time.Hour
-	d.Begin(-1, true)
+	d.SetInitialState(-1, true)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { defer close(done); d.Watch(ctx) }()
-	await(t, p.asked, "call for the list")
+	awaitValue(t, p.queries, "call for the list")
 	stop()
 	<-done
 }
 
 // The next answer is compared only once the loop has applied the last one: else it would be told again, or missed.
-func TestAnswersWaitForTheirTurn(t *testing.T) {
-	s := newScript(t)
-	d, events, _ := watchOf(t, s)
-	s.answers <- good
-	s.answers <- strings.Replace(good, "6", "7", 1) // the same row in a newer list
-	first := await(t, events, "list").(Event)
+func TestAnswerIsComparedAfterPreviousUpdateIsApplied(t *testing.T) {
+	s := newScriptedDiscovery(t)
+	d, events, _ := newWatchingClient(t, s)
+	s.answers <- goodAnswer
+	s.answers <- strings.Replace(goodAnswer, "6", "7", 1) // the same row in a newer list
+	first := awaitValue(t, events, "list").(Event)
 	for range 2 {
-		await(t, s.asked, "call")
+		awaitValue(t, s.queries, "call")
 	}
 	select {
 	case ev := <-events:
 		t.Fatalf("told %+v before the last update was applied", ev)
 	case <-time.After(100 * time.Millisecond): // the answer has come meanwhile
 	}
-	if rows := d.dir.Apply(&first.Update, time.Now()); len(rows) != 1 {
+	if rows := d.directory.Apply(&first.Update, time.Now()); len(rows) != 1 {
 		t.Errorf("the module is told %v", rows)
 	}
 	first.Done()
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -8,59 +8,59 @@
 	"crossdeal/logic"
 )
 
-// take has a directory take a list, and returns what the module is told and how many rows made no sense.
-func take(d *Directory, l List) ([]logic.Entry, int) {
-	u := d.Reduce(l)
+// applyList has a directory take a list, and returns what the module is told and how many rows made no sense.
+func applyList(d *Directory, l List) ([]logic.Entry, int) {
+	u := d.Diff(l)
 	rows := d.Apply(&u, time.Now())
-	return rows, u.Unusable
+	return rows, u.UnusableRows
 }
 
 // On a long day endpoints come and go: what is gone for long is forgotten, but for what is in use, and no number is
 // given twice.
-func TestDirectoryForgetsWhatIsGone(t *testing.T) {
+func TestDirectoryRemovesExpiredEndpoints(t *testing.T) {
 	d := NewDirectory(nil, nil)
-	take(d, List{Reset: true, Instances: []Instance{{ID: "a", HostPort: "h:1", Lifecycle: "up"}, {ID: "b", HostPort: "h:2", Lifecycle: "up"},
+	applyList(d, List{Reset: true, Instances: []Instance{{ID: "a", HostPort: "h:1", Lifecycle: "up"}, {ID: "b", HostPort: "h:2", Lifecycle: "up"},
 		{ID: "c", HostPort: "h:3", Lifecycle: "up"}, {ID: "d", HostPort: "h:4", Lifecycle: "up"}}})
-	take(d, List{Instances: []Instance{{ID: "a", Lifecycle: "removed"}, {ID: "b", Lifecycle: "removed"}}})
-	take(d, List{Reset: true, Instances: []Instance{{ID: "d", HostPort: "h:4", Lifecycle: "up"}}})
+	applyList(d, List{Instances: []Instance{{ID: "a", Lifecycle: "removed"}, {ID: "b", Lifecycle: "removed"}}})
+	applyList(d, List{Reset: true, Instances: []Instance{{ID: "d", HostPort: "h:4", Lifecycle: "up"}}})
 	used := func(name string, _ logic.EndpointID) bool { return name == "b" }
-	if d.Forget(time.Now(), used); len(d.ids) != 4 {
-		t.Errorf("forgotten at once: %v", d.ids)
+	if d.RemoveExpired(time.Now(), used); len(d.idsByName) != 4 {
+		t.Errorf("forgotten at once: %v", d.idsByName)
 	}
-	d.Forget(time.Now().Add(goneKept+time.Second), used)
+	d.RemoveExpired(time.Now().Add(unlistedRetention+time.Second), used)
 	targets := 0
 	for _, id := range d.Names() {
 		if _, ok := d.Target(id); ok {
 			targets++
 		}
 	}
-	if len(d.ids) != 2 || targets != 2 || d.ids["b"] != 2 || d.ids["d"] != 4 || len(d.gone) != 1 {
-		t.Errorf("kept %v, %d targets, gone %v", d.ids, targets, d.gone)
+	if len(d.idsByName) != 2 || targets != 2 || d.idsByName["b"] != 2 || d.idsByName["d"] != 4 || len(d.unlistedSince) != 1 {
+		t.Errorf("kept %v, %d targets, gone %v", d.idsByName, targets, d.unlistedSince)
 	}
-	if id := d.Number("a"); id != 5 {
+	if id := d.AssignID("a"); id != 5 {
 		t.Errorf("number %d is given again", id)
 	}
 	successor := NewDirectory(nil, nil)
 	for name, id := range d.Names() {
 		successor.Adopt(name, id, Target{})
 	}
-	if successor.Number("e") != 6 {
-		t.Errorf("the successor's numbers: %v", successor.ids)
+	if successor.AssignID("e") != 6 {
+		t.Errorf("the successor's numbers: %v", successor.idsByName)
 	}
 }
 
 // Entries that make no sense are left out, with a line in the log; the others of the list count.
-func TestNonsenseAmongEntries(t *testing.T) {
+func TestDirectoryIgnoresMalformedInstances(t *testing.T) {
 	d := NewDirectory(nil, nil)
-	take(d, List{Reset: true, Instances: []Instance{{ID: "a", HostPort: "h:1", Dest: 1, Lifecycle: "up"}}})
-	rows, unusable := take(d, List{Instances: []Instance{{HostPort: "h:2", Dest: 1, Lifecycle: "up"}, {ID: "b", Dest: 1, Lifecycle: "up"},
+	applyList(d, List{Reset: true, Instances: []Instance{{ID: "a", HostPort: "h:1", Destination: 1, Lifecycle: "up"}}})
+	rows, unusable := applyList(d, List{Instances: []Instance{{HostPort: "h:2", Destination: 1, Lifecycle: "up"}, {ID: "b", Destination: 1, Lifecycle: "up"},
 		{ID: "c", HostPort: "h", Lifecycle: "up"}, {ID: "d", HostPort: "h:port", Lifecycle: "up"}, {ID: "e", HostPort: ":0", Lifecycle: "up"},
-		{ID: "a", HostPort: "nonsense", Dest: 1, Lifecycle: "draining"}, {ID: "f", HostPort: "h:6", Dest: 1, Lifecycle: "up"}}})
-	if len(rows) != 2 || unusable != 5 || len(d.ids) != 2 {
-		t.Errorf("%d entries taken, %d left out, names %v", len(rows), unusable, d.ids)
+		{ID: "a", HostPort: "nonsense", Destination: 1, Lifecycle: "draining"}, {ID: "f", HostPort: "h:6", Destination: 1, Lifecycle: "up"}}})
+	if len(rows) != 2 || unusable != 5 || len(d.idsByName) != 2 {
+		t.Errorf("%d entries taken, %d left out, names %v", len(rows), unusable, d.idsByName)
 	}
-	if to, _ := d.Target(d.ids["a"]); to.Addr != "h:1" {
-		t.Errorf("a is called at %q now", to.Addr)
+	if to, _ := d.Target(d.idsByName["a"]); to.Address != "h:1" {
+		t.Errorf("a is called at %q now", to.Address)
 	}
 	if fmt.Sprint(rows[0].State, rows[1].State) != fmt.Sprint(logic.Draining, logic.Ready) {
 		t.Errorf("states %v, %v", rows[0].State, rows[1].State)
@@ -69,18 +69,18 @@
 
 // Of a destination with very many endpoints the module is told of some, since it looks at each for each call; the others
 // come in as those go, however they go, and nothing that can serve is left out while there is room.
-func TestCrowdedDestination(t *testing.T) {
-	const all = 3 * tellMost
+func TestEndpointsPerDestinationAreLimited(t *testing.T) {
+	const all = 3 * maxAnnouncedPerDestination
 	d := NewDirectory(nil, nil)
 	module := map[logic.EndpointID]logic.Entry{}
 	whole := List{Reset: true}
 	for i := range all {
-		whole.Instances = append(whole.Instances, Instance{ID: fmt.Sprint(i), HostPort: "h:1", Dest: 1, Lifecycle: "up"})
+		whole.Instances = append(whole.Instances, Instance{ID: fmt.Sprint(i), HostPort: "h:1", Destination: 1, Lifecycle: "up"})
 	}
-	whole.Instances = append(whole.Instances, Instance{ID: "other", HostPort: "h:1", Dest: 2, Lifecycle: "up"})
+	whole.Instances = append(whole.Instances, Instance{ID: "other", HostPort: "h:1", Destination: 2, Lifecycle: "up"})
 	check := func(what string, l List, wantUp, wantOmitted int) {
 		t.Helper()
-		u := d.Reduce(l)
+		u := d.Diff(l)
 		for _, row := range d.Apply(&u, time.Now()) {
 			if row.State == logic.Removed {
 				delete(module, row.Endpoint)
@@ -96,8 +96,8 @@
 				ready++
 			}
 		}
-		if ready != wantUp || other != 1 || u.Omitted != wantOmitted || len(d.Entries()) != len(module) {
-			t.Errorf("%s: the module has %d (%d of another), %d omitted, %d entries of %d", what, ready, other, u.Omitted,
+		if ready != wantUp || other != 1 || u.OmittedEndpoints != wantOmitted || len(d.Entries()) != len(module) {
+			t.Errorf("%s: the module has %d (%d of another), %d omitted, %d entries of %d", what, ready, other, u.OmittedEndpoints,
 				len(d.Entries()), len(module))
 		}
 	}
@@ -109,39 +109,39 @@
 		}
 		return l
 	}
-	check("all", whole, tellMost, all-tellMost)
-	check("again", whole, tellMost, all-tellMost)
-	check("a third drains", part(0, tellMost, "draining"), tellMost, all-2*tellMost)
-	check("and is up again", part(0, tellMost, "up"), tellMost, all-tellMost)
-	check("two thirds go", part(0, 2*tellMost, "removed"), tellMost, 0)
-	check("and some more", part(2*tellMost, 2*tellMost+10, "removed"), tellMost-10, 0)
-	check("all are back", whole, tellMost, all-tellMost)
+	check("all", whole, maxAnnouncedPerDestination, all-maxAnnouncedPerDestination)
+	check("again", whole, maxAnnouncedPerDestination, all-maxAnnouncedPerDestination)
+	check("a third drains", part(0, maxAnnouncedPerDestination, "draining"), maxAnnouncedPerDestination, all-2*maxAnnouncedPerDestination)
+	check("and is up again", part(0, maxAnnouncedPerDestination, "up"), maxAnnouncedPerDestination, all-maxAnnouncedPerDestination)
+	check("two thirds go", part(0, 2*maxAnnouncedPerDestination, "removed"), maxAnnouncedPerDestination, 0)
+	check("and some more", part(2*maxAnnouncedPerDestination, 2*maxAnnouncedPerDestination+10, "removed"), maxAnnouncedPerDestination-10, 0)
+	check("all are back", whole, maxAnnouncedPerDestination, all-maxAnnouncedPerDestination)
 	moved := part(0, all, "up")
 	for i := range moved.Instances {
-		moved.Instances[i].Dest = int64(3 + i)
+		moved.Instances[i].Destination = int64(3 + i)
 	}
-	u := d.Reduce(moved)
-	if d.Apply(&u, time.Now()); u.Omitted != 0 || len(d.Entries()) != all+1 || len(d.told) != all+1 || len(d.omitted) != 0 {
-		t.Errorf("each of its own: %d omitted, %d entries, %d destinations", u.Omitted, len(d.Entries()), len(d.told))
+	u := d.Diff(moved)
+	if d.Apply(&u, time.Now()); u.OmittedEndpoints != 0 || len(d.Entries()) != all+1 || len(d.announcedUpCounts) != all+1 || len(d.omittedByDestination) != 0 {
+		t.Errorf("each of its own: %d omitted, %d entries, %d destinations", u.OmittedEndpoints, len(d.Entries()), len(d.announcedUpCounts))
 	}
 }
 
 // Lists that name all endpoints anew, again and again, do not fill the memory with names that are gone.
-func TestRenamedListsAreForgotten(t *testing.T) {
+func TestUnlistedNamesDoNotAccumulate(t *testing.T) {
 	d := NewDirectory(nil, nil)
 	now := time.Now()
 	const listed = 5000
 	for i := range 40 {
 		l := List{Reset: true}
 		for k := range listed {
-			l.Instances = append(l.Instances, Instance{ID: fmt.Sprint(i, ".", k), HostPort: "h:1", Dest: int64(k), Lifecycle: "up"})
+			l.Instances = append(l.Instances, Instance{ID: fmt.Sprint(i, ".", k), HostPort: "h:1", Destination: int64(k), Lifecycle: "up"})
 		}
-		u := d.Reduce(l)
+		u := d.Diff(l)
 		d.Apply(&u, now)
 		now = now.Add(5 * time.Second)
-		d.Forget(now, func(string, logic.EndpointID) bool { return false })
-		if d.Len() != listed || len(d.ids) > 9*listed || len(d.pages) > len(d.ids)/pageSize+40 {
-			t.Fatalf("list %d: %d listed, %d names, %d pages", i, d.Len(), len(d.ids), len(d.pages))
+		d.RemoveExpired(now, func(string, logic.EndpointID) bool { return false })
+		if d.Len() != listed || len(d.idsByName) > 9*listed || len(d.pages) > len(d.idsByName)/recordsPerPage+40 {
+			t.Fatalf("list %d: %d listed, %d names, %d pages", i, d.Len(), len(d.idsByName), len(d.pages))
 		}
 	}
 }
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -17,11 +17,11 @@
 	"time"
 )
 
-// patience bounds every wait for an event: it is not reached unless a test fails.
-const patience = 20 * time.Second
+// eventTimeout bounds every wait for an event: it is not reached unless a test fails.
+const eventTimeout = 20 * time.Second
 
-// await returns the next value of ch.
-func await[T any](t *testing.T, ch <-chan T, what string) T {
+// awaitValue returns the next value of ch.
+func awaitValue[T any](t *testing.T, ch <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v, ok := <-ch:
@@ -29,52 +29,52 @@
 			t.Fatalf("no more %s", what)
 		}
 		return v
-	case <-time.After(patience):
+	case <-time.After(eventTimeout):
 		t.Fatalf("no %s", what)
 	}
 	panic("unreachable")
 }
 
-// source stands for discovery: it serves what a test sets.
-type source struct {
-	srv   *httptest.Server
-	asked chan string // query of each call
-	mu    sync.Mutex
-	list  List
-	news  chan struct{} // closed when the list changes
-	late  time.Duration // of its answer to the next call
+// fakeDiscovery stands for discovery: it serves what a test sets.
+type fakeDiscovery struct {
+	server          *httptest.Server
+	queries         chan string // query of each call
+	mu              sync.Mutex
+	list            List
+	changed         chan struct{} // closed when the list changes
+	nextAnswerDelay time.Duration // of its answer to the next call
 }
 
-func newSource(t *testing.T) *source {
+func newFakeDiscovery(t *testing.T) *fakeDiscovery {
 	t.Helper()
-	p := &source{asked: make(chan string, 1024), news: make(chan struct{})}
-	p.srv = httptest.NewServer(http.HandlerFunc(p.hosts))
-	t.Cleanup(func() { p.srv.CloseClientConnections(); p.srv.Close() })
+	p := &fakeDiscovery{queries: make(chan string, 1024), changed: make(chan struct{})}
+	p.server = httptest.NewServer(http.HandlerFunc(p.serveHosts))
+	t.Cleanup(func() { p.server.CloseClientConnections(); p.server.Close() })
 	return p
 }
 
-func (p *source) set(f func()) {
+func (p *fakeDiscovery) update(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
-	close(p.news)
-	p.news = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-func (p *source) hosts(w http.ResponseWriter, r *http.Request) {
-	p.asked <- r.URL.RawQuery
+func (p *fakeDiscovery) serveHosts(w http.ResponseWriter, r *http.Request) {
+	p.queries <- r.URL.RawQuery
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	hold, _ := strconv.ParseInt(r.URL.Query().Get("hold_ms"), 10, 64)
 	p.mu.Lock()
-	late := p.late
-	p.late = 0
+	late := p.nextAnswerDelay
+	p.nextAnswerDelay = 0
 	p.mu.Unlock()
 	time.Sleep(late)
 	over := time.NewTimer(time.Duration(hold) * time.Millisecond)
 	defer over.Stop()
 	for {
 		p.mu.Lock()
-		list, news := p.list, p.news
+		list, news := p.list, p.changed
 		p.mu.Unlock()
 		if list.Generation > from {
 			text, err := json.Marshal(list)
@@ -97,41 +97,41 @@
 
 // newTestClient is a client of an empty directory.
 func newTestClient(addr string, senders int, grace time.Duration, seed uint64, log *slog.Logger, events chan<- any) *Client {
-	return NewClient(Config{Addr: addr, Senders: senders, Grace: grace, Seed: seed, Directory: NewDirectory(nil, nil), Log: log}, events)
+	return NewClient(Config{Addr: addr, Senders: senders, DrainGrace: grace, Seed: seed, Directory: NewDirectory(nil, nil), Log: log}, events)
 }
 
 // awaitEvent takes the next event as the loop does, but applies nothing.
 func awaitEvent(t *testing.T, events <-chan any, what string) Event {
 	t.Helper()
-	ev := await(t, events, what).(Event)
+	ev := awaitValue(t, events, what).(Event)
 	if ev.Done != nil {
 		ev.Done()
 	}
 	return ev
 }
 
-// bubble runs a test on virtual time with a client, whose list is at generation 5, and a discovery in memory, whose
+// virtualTimeTest runs a test on virtual time with a client, whose list is at generation 5, and a discovery in memory, whose
 // every call serve answers with raw bytes; then the connection ends. The events are acknowledged and kept.
-type bubble struct {
+type virtualTimeTest struct {
 	*Client
-	t      *testing.T
-	log    *lines
-	events chan any
-	begun  time.Time
-	watch  func() // once more, after a watch has ended
-	mu     sync.Mutex
-	asked  []time.Duration // when each call came
-	query  []string
+	t          *testing.T
+	log        *logBuffer
+	events     chan any
+	startedAt  time.Time
+	startWatch func() // once more, after a watch has ended
+	mu         sync.Mutex
+	callTimes  []time.Duration // when each call came
+	queries    []string
 }
 
-func inBubble(t *testing.T, maxBytes int64, serve func(b *bubble, w io.Writer), test func(b *bubble), with ...func(*Client)) {
+func runOnVirtualTime(t *testing.T, maxBytes int64, serve func(b *virtualTimeTest, w io.Writer), test func(b *virtualTimeTest), with ...func(*Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		var served, watches sync.WaitGroup
 		var dialing sync.Mutex
 		over := false // the transport may dial for a call that has been called off
-		b := &bubble{t: t, log: &lines{}, events: make(chan any, 1024), begun: time.Now()}
-		b.Client = NewClient(Config{Addr: "discovery:1", Senders: 1, Seed: 5, MaxBytes: maxBytes, Directory: NewDirectory(nil, nil),
+		b := &virtualTimeTest{t: t, log: &logBuffer{}, events: make(chan any, 1024), startedAt: time.Now()}
+		b.Client = NewClient(Config{Addr: "discovery:1", Senders: 1, Seed: 5, MaxAnswerBytes: maxBytes, Directory: NewDirectory(nil, nil),
 			Log: slog.New(slog.NewTextHandler(b.log, nil)),
 			Dial: func(context.Context, string, string) (net.Conn, error) {
 				dialing.Lock()
@@ -147,19 +147,19 @@
 						return
 					}
 					b.mu.Lock()
-					b.asked, b.query = append(b.asked, time.Since(b.begun)), append(b.query, req.URL.RawQuery)
+					b.callTimes, b.queries = append(b.callTimes, time.Since(b.startedAt)), append(b.queries, req.URL.RawQuery)
 					b.mu.Unlock()
 					serve(b, theirs)
 				})
 				return ours, nil
 			}}, b.events)
-		b.Begin(5, true)
+		b.SetInitialState(5, true)
 		for _, f := range with {
 			f(b.Client)
 		}
 		ctx, stop := context.WithCancel(t.Context())
-		b.watch = func() { watches.Go(func() { b.Watch(ctx) }) }
-		b.watch()
+		b.startWatch = func() { watches.Go(func() { b.Watch(ctx) }) }
+		b.startWatch()
 		test(b)
 		stop()
 		watches.Wait()
@@ -167,22 +167,22 @@
 		over = true
 		dialing.Unlock()
 		served.Wait()
-		b.client.CloseIdleConnections()
+		b.httpClient.CloseIdleConnections()
 	})
 }
 
 // calls is the number of calls so far, and when the last one came.
-func (b *bubble) calls() (int, time.Duration) {
+func (b *virtualTimeTest) calls() (int, time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.asked) == 0 {
+	if len(b.callTimes) == 0 {
 		return 0, 0
 	}
-	return len(b.asked), b.asked[len(b.asked)-1]
+	return len(b.callTimes), b.callTimes[len(b.callTimes)-1]
 }
 
-// next is the next event; nil if there is none by then.
-func (b *bubble) next(within time.Duration) *Event {
+// nextEvent is the next event; nil if there is none by then.
+func (b *virtualTimeTest) nextEvent(within time.Duration) *Event {
 	select {
 	case x := <-b.events:
 		ev := x.(Event)
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -16,17 +16,17 @@
 	"crossdeal/logic"
 )
 
-func mustRead(t testing.TB, d *Directory, in io.Reader) *answer {
+func mustReadAnswer(t testing.TB, d *Directory, in io.Reader) *answer {
 	t.Helper()
-	a, err := d.read(in, 0)
+	a, err := d.readAnswer(in, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return a
 }
 
-// ids lists rows as name and lifecycle.
-func ids(rows []Instance) string {
+// describeRows lists rows as name and lifecycle.
+func describeRows(rows []Instance) string {
 	var out []string
 	for _, in := range rows {
 		out = append(out, in.ID+" "+in.Lifecycle)
@@ -34,32 +34,32 @@
 	return strings.Join(out, ", ")
 }
 
-const three = `{"generation":1,"reset":true,"instances":[
+const threeInstances = `{"generation":1,"reset":true,"instances":[
 {"instanceId":"a","hostPort":"h:1","zone":"z","machineType":"m","cell":1,"lifecycle":"up","weight":2},
 {"instanceId":"b","hostPort":"h:2","zone":"z","machineType":"m","cell":1,"lifecycle":"up","weight":2},
 {"instanceId":"c","hostPort":"h:3","zone":"z","machineType":"m","cell":2,"lifecycle":"up","weight":2}]}`
 
 // A whole list comes to the module as what it changes: rows that differ in any field, and those that it lacks.
-func TestWholeListIsReduced(t *testing.T) {
+func TestWholeListIsReducedToChanges(t *testing.T) {
 	d := NewDirectory([]string{"z"}, nil)
-	first := mustRead(t, d, strings.NewReader(three))
-	if got := ids(first.Rows); got != "a up, b up, c up" || !first.Whole || first.count != 3 {
+	first := mustReadAnswer(t, d, strings.NewReader(threeInstances))
+	if got := describeRows(first.Rows); got != "a up, b up, c up" || !first.Whole || first.rowCount != 3 {
 		t.Fatalf("at first %s, %+v", got, first)
 	}
 	d.Apply(&first.Update, time.Now())
-	if same := mustRead(t, d, strings.NewReader(three)); len(same.Rows) != 0 || !same.Whole || same.count != 3 {
+	if same := mustReadAnswer(t, d, strings.NewReader(threeInstances)); len(same.Rows) != 0 || !same.Whole || same.rowCount != 3 {
 		t.Errorf("the same again: %+v", same)
 	}
 	b := `{"instanceId":"b","hostPort":"h:2","zone":"z","machineType":"m","cell":1,"lifecycle":"up","weight":2}`
 	for _, x := range [][2]string{{`"h:2"`, `"h:4"`}, {`"cell":1`, `"cell":3`}, {`"up"`, `"draining"`}, {`"weight":2`, `"weight":3`},
 		{`"z"`, `"y"`}, {`"m"`, `"n"`}} {
-		a := mustRead(t, d, strings.NewReader(strings.Replace(three, b, strings.Replace(b, x[0], x[1], 1), 1)))
+		a := mustReadAnswer(t, d, strings.NewReader(strings.Replace(threeInstances, b, strings.Replace(b, x[0], x[1], 1), 1)))
 		if len(a.Rows) != 1 || a.Rows[0].ID != "b" {
-			t.Errorf("%s for %s: told %s", x[1], x[0], ids(a.Rows))
+			t.Errorf("%s for %s: told %s", x[1], x[0], describeRows(a.Rows))
 		}
 	}
-	less := mustRead(t, d, strings.NewReader(strings.Replace(three, b+",\n", "", 1)))
-	if got := ids(less.Rows); got != "b removed" {
+	less := mustReadAnswer(t, d, strings.NewReader(strings.Replace(threeInstances, b+",\n", "", 1)))
+	if got := describeRows(less.Rows); got != "b removed" {
 		t.Errorf("without b: told %s", got)
 	}
 	rows := d.Apply(&less.Update, time.Now())
@@ -72,7 +72,7 @@
 // passed over.
 func TestFieldsInAnyOrder(t *testing.T) {
 	d := NewDirectory(nil, nil)
-	take(d, List{Reset: true, Instances: []Instance{{ID: "a", HostPort: "h:1", Lifecycle: "up"}, {ID: "x", HostPort: "h:9", Lifecycle: "up"}}})
+	applyList(d, List{Reset: true, Instances: []Instance{{ID: "a", HostPort: "h:1", Lifecycle: "up"}, {ID: "x", HostPort: "h:9", Lifecycle: "up"}}})
 	text := `{"more":[{"instances":[1,{"a":null}]},"}"],"instances":[{"lifecycle":"up","hostPort":"h:1","instanceId":"a","startedAtMs":0},
 	{"hostPort":"h:2","instanceId":"b","tags":{"x":[1,2]},"lifecycle":"up"}],"reset":true,"generation":7}`
 	var value any
@@ -81,29 +81,29 @@
 	}
 	indented, _ := json.MarshalIndent(value, "", "\t\t")
 	for _, text := range []string{text, string(indented)} {
-		a := mustRead(t, d, iotest.OneByteReader(strings.NewReader(text)))
-		if got := ids(a.Rows); got != "x removed, b up" || a.Generation != 7 || !a.Whole || a.Unusable != 0 {
+		a := mustReadAnswer(t, d, iotest.OneByteReader(strings.NewReader(text)))
+		if got := describeRows(a.Rows); got != "x removed, b up" || a.Generation != 7 || !a.Whole || a.UnusableRows != 0 {
 			t.Errorf("told %s, %+v", got, a)
 		}
 	}
 }
 
 // Wherever an answer breaks off, it is no list, and the directory stays as it was.
-func TestCutAnswers(t *testing.T) {
+func TestTruncatedAnswersAreRejected(t *testing.T) {
 	d := NewDirectory(nil, nil)
-	for i := range three {
-		if _, err := d.read(strings.NewReader(three[:i]), 0); err == nil {
-			t.Errorf("%q is taken", three[:i])
+	for i := range threeInstances {
+		if _, err := d.readAnswer(strings.NewReader(threeInstances[:i]), 0); err == nil {
+			t.Errorf("%q is taken", threeInstances[:i])
 		}
 	}
-	if d.Len() != 0 || d.last != 0 {
-		t.Errorf("%d listed, last number %d", d.Len(), d.last)
+	if d.Len() != 0 || d.lastID != 0 {
+		t.Errorf("%d listed, last number %d", d.Len(), d.lastID)
 	}
 }
 
 // Rows that make no sense are counted and leave what they name as it was, also in a whole list; of rows with one id the
 // last one wins; a list of which no row makes sense is none.
-func TestNonsenseInAStream(t *testing.T) {
+func TestMalformedRowsInAnswer(t *testing.T) {
 	row := func(id, rest string) string {
 		return fmt.Sprintf(`{"instanceId":%q,"hostPort":"h:7","lifecycle":"up",%s}`, id, rest)
 	}
@@ -120,53 +120,53 @@
 		{row("n", `"cell":5`) + "," + row("n", `"cell":6`) + "," + row("n", `"cell":7`), "a removed, b removed, c removed, n up, ok up", 0, 2},
 	} {
 		d := NewDirectory([]string{"z"}, nil)
-		first := mustRead(t, d, strings.NewReader(three))
+		first := mustReadAnswer(t, d, strings.NewReader(threeInstances))
 		d.Apply(&first.Update, time.Now())
-		a := mustRead(t, d, strings.NewReader(`{"generation":2,"reset":true,"instances":[`+x.rows+","+row("ok", `"cell":1`)+`]}`))
-		if got := ids(a.Rows); got != x.want || a.Unusable != x.unusable || a.Duplicates != x.duplicates {
-			t.Errorf("%s: told %s, %d unusable, %d duplicates", x.rows, got, a.Unusable, a.Duplicates)
+		a := mustReadAnswer(t, d, strings.NewReader(`{"generation":2,"reset":true,"instances":[`+x.rows+","+row("ok", `"cell":1`)+`]}`))
+		if got := describeRows(a.Rows); got != x.want || a.UnusableRows != x.unusable || a.DuplicateRows != x.duplicates {
+			t.Errorf("%s: told %s, %d unusable, %d duplicates", x.rows, got, a.UnusableRows, a.DuplicateRows)
 		}
-		if i := slices.IndexFunc(a.Rows, func(in Instance) bool { return in.ID == "a" && in.Lifecycle == "up" }); i >= 0 && a.Rows[i].Dest != 6 {
+		if i := slices.IndexFunc(a.Rows, func(in Instance) bool { return in.ID == "a" && in.Lifecycle == "up" }); i >= 0 && a.Rows[i].Destination != 6 {
 			t.Errorf("%s: a is %+v, want the last row", x.rows, a.Rows[i])
 		}
-		if a, err := d.read(strings.NewReader(`{"generation":2,"reset":true,"instances":[7,{"hostPort":"h:1"}]}`), 0); err == nil {
+		if a, err := d.readAnswer(strings.NewReader(`{"generation":2,"reset":true,"instances":[7,{"hostPort":"h:1"}]}`), 0); err == nil {
 			t.Errorf("a list without a row that makes sense is taken: %+v", a)
 		}
 	}
 }
 
 // A value that never ends is given up before much of it is kept.
-func TestEndlessValue(t *testing.T) {
+func TestEndlessValueIsRejected(t *testing.T) {
 	for _, begin := range []string{`{"instances":[{"instanceId":"`, `{"`, `{"more":"`, `{"generation":`, `{"instances":[{"x":[`} {
-		text := &counted{in: io.MultiReader(strings.NewReader(begin), endless("1,"[:1]))}
-		if _, err := NewDirectory(nil, nil).read(text, 0); err == nil || text.n > 4*longestRow {
-			t.Errorf("%s: %d bytes read, %v", begin, text.n, err)
+		text := &countingReader{input: io.MultiReader(strings.NewReader(begin), endlessReader("1,"[:1]))}
+		if _, err := NewDirectory(nil, nil).readAnswer(text, 0); err == nil || text.bytesRead > 4*maxValueBytes {
+			t.Errorf("%s: %d bytes read, %v", begin, text.bytesRead, err)
 		}
 	}
 }
 
-type endless string
+type endlessReader string
 
-func (e endless) Read(b []byte) (int, error) {
+func (e endlessReader) Read(b []byte) (int, error) {
 	for i := range b {
 		b[i] = e[i%len(e)]
 	}
 	return len(b), nil
 }
 
-type counted struct {
-	in io.Reader
-	n  int
+type countingReader struct {
+	input     io.Reader
+	bytesRead int
 }
 
-func (c *counted) Read(b []byte) (int, error) {
-	n, err := c.in.Read(b)
-	c.n += n
+func (c *countingReader) Read(b []byte) (int, error) {
+	n, err := c.input.Read(b)
+	c.bytesRead += n
 	return n, err
 }
 
 // Whatever lists follow each other, the module knows the same after the reduced ones as after the ones that came.
-func TestReducedListsTellTheSame(t *testing.T) {
+func TestReducedListsGiveSameState(t *testing.T) {
 	type told struct {
 		zone, kind int
 		dest       int64
@@ -182,7 +182,7 @@
 			l := List{Generation: 1, Reset: rng.IntN(3) == 0}
 			for range rng.IntN(12) {
 				l.Instances = append(l.Instances, Instance{ID: fmt.Sprint("i", rng.IntN(10)), HostPort: fmt.Sprint("h:", 1+rng.IntN(2)),
-					Zone: fmt.Sprint("z", rng.IntN(3)), Kind: fmt.Sprint("m", rng.IntN(3)), Dest: rng.Int64N(2),
+					Zone: fmt.Sprint("z", rng.IntN(3)), Kind: fmt.Sprint("m", rng.IntN(3)), Destination: rng.Int64N(2),
 					Lifecycle: []string{"up", "up", "draining", "removed"}[rng.IntN(4)], Weight: float64(rng.IntN(2))})
 			}
 			if l.Reset && len(l.Instances) == 0 {
@@ -196,13 +196,13 @@
 				if in.Lifecycle == "removed" {
 					delete(want, in.ID)
 				} else if in.Lifecycle == "up" {
-					want[in.ID] = told{zone, kind, in.Dest, logic.Ready, in.Weight, in.HostPort}
+					want[in.ID] = told{zone, kind, in.Destination, logic.Ready, in.Weight, in.HostPort}
 				} else {
-					want[in.ID] = told{zone, kind, in.Dest, logic.Draining, in.Weight, in.HostPort}
+					want[in.ID] = told{zone, kind, in.Destination, logic.Draining, in.Weight, in.HostPort}
 				}
 			}
 			text, _ := json.Marshal(l)
-			a := mustRead(t, d, strings.NewReader(string(text)))
+			a := mustReadAnswer(t, d, strings.NewReader(string(text)))
 			names := map[logic.EndpointID]string{}
 			rows := d.Apply(&a.Update, time.Now())
 			for name, id := range d.Names() {
@@ -213,26 +213,26 @@
 				if row.State == logic.Removed {
 					delete(got, names[row.Endpoint])
 				} else {
-					got[names[row.Endpoint]] = told{row.Zone, row.Kind, row.Destination, row.State, row.Nominal, to.Addr}
+					got[names[row.Endpoint]] = told{row.Zone, row.Kind, row.Destination, row.State, row.Nominal, to.Address}
 				}
 			}
 			if !maps.Equal(got, want) || d.Len() != len(want) {
 				t.Fatalf("seed %d: the module knows %v, want %v", seed, got, want)
 			}
-			if again := mustRead(t, d, strings.NewReader(string(text))); l.Reset && again.Duplicates == 0 && len(again.Rows) != 0 {
-				t.Fatalf("seed %d: told again %s", seed, ids(again.Rows))
+			if again := mustReadAnswer(t, d, strings.NewReader(string(text))); l.Reset && again.DuplicateRows == 0 && len(again.Rows) != 0 {
+				t.Fatalf("seed %d: told again %s", seed, describeRows(again.Rows))
 			}
 		}
 		all := NewDirectory([]string{"z0", "z1"}, []logic.Kind{{Name: "m0"}, {Name: "m1"}})
-		u := all.Reduce(List{Reset: true, Instances: slices.Collect(d.All())})
+		u := all.Diff(List{Reset: true, Instances: slices.Collect(d.Listed())})
 		if all.Apply(&u, time.Now()); all.Len() != len(want) || len(u.Rows) != len(want) {
 			t.Fatalf("seed %d: a copy has %d of %d", seed, all.Len(), len(want))
 		}
 	}
 }
 
-// published writes a whole list of so many entries, one destination each, as discovery would.
-func published(w io.Writer, generation int64, entries int) {
+// writeWholeList writes a whole list of so many entries, one destination each, as discovery would.
+func writeWholeList(w io.Writer, generation int64, entries int) {
 	fmt.Fprintf(w, `{"generation":%d,"reset":true,"instances":[`, generation)
 	for i := range entries {
 		if i > 0 {
@@ -250,14 +250,14 @@
 	d := NewDirectory(nil, nil)
 	var text strings.Builder
 	const entries = 20000
-	published(&text, 1, entries)
-	first := mustRead(t, d, strings.NewReader(text.String()))
+	writeWholeList(&text, 1, entries)
+	first := mustReadAnswer(t, d, strings.NewReader(text.String()))
 	if len(first.Rows) != entries || len(d.Apply(&first.Update, time.Now())) != entries {
 		t.Fatalf("%d rows", len(first.Rows))
 	}
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	again := mustRead(t, d, strings.NewReader(text.String()))
+	again := mustReadAnswer(t, d, strings.NewReader(text.String()))
 	runtime.ReadMemStats(&after)
 	if each := float64(after.TotalAlloc-before.TotalAlloc) / entries; len(again.Rows) != 0 || each > 64 {
 		t.Errorf("%d rows, %.0f bytes allocated for each entry", len(again.Rows), each)
@@ -265,17 +265,17 @@
 }
 
 // What one change costs does not depend on how much is listed.
-func TestOneChangeCostsTheSame(t *testing.T) {
+func TestCostOfOneChangeIsIndependentOfListSize(t *testing.T) {
 	cost := func(entries int) float64 {
 		d := NewDirectory(nil, nil)
 		pr, pw := io.Pipe()
-		go func() { published(pw, 1, entries); pw.Close() }()
-		first := mustRead(t, d, pr)
+		go func() { writeWholeList(pw, 1, entries); pw.Close() }()
+		first := mustReadAnswer(t, d, pr)
 		d.Apply(&first.Update, time.Now())
 		i := 0
 		return testing.AllocsPerRun(100, func() {
 			i++
-			u := d.Reduce(List{Instances: []Instance{{ID: "s-00000001", HostPort: "h:1", Dest: int64(i), Lifecycle: "up"}}})
+			u := d.Diff(List{Instances: []Instance{{ID: "s-00000001", HostPort: "h:1", Destination: int64(i), Lifecycle: "up"}}})
 			if rows := d.Apply(&u, time.Now()); len(rows) != 1 {
 				t.Fatalf("%d rows", len(rows))
 			}
@@ -289,19 +289,19 @@
 // BenchmarkReadWholeList reads a whole list of 200,000 entries that are new, and one that is known.
 func BenchmarkReadWholeList(b *testing.B) {
 	var text strings.Builder
-	published(&text, 1, 200000)
+	writeWholeList(&text, 1, 200000)
 	for _, known := range []bool{false, true} {
 		b.Run(fmt.Sprintf("known=%v", known), func(b *testing.B) {
 			b.ReportAllocs()
 			b.SetBytes(int64(text.Len()))
 			d := NewDirectory(nil, nil)
 			if known {
-				a := mustRead(b, d, strings.NewReader(text.String()))
+				a := mustReadAnswer(b, d, strings.NewReader(text.String()))
 				d.Apply(&a.Update, time.Now())
 			}
 			peak := peakHeap(b)
 			for b.Loop() {
-				a := mustRead(b, d, strings.NewReader(text.String()))
+				a := mustReadAnswer(b, d, strings.NewReader(text.String()))
 				if !known {
 					d = NewDirectory(nil, nil)
 					d.Apply(&a.Update, time.Now())
@@ -346,13 +346,13 @@
 	for _, entries := range []int{200, 2000, 20000, 200000} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			var text strings.Builder
-			published(&text, 1, entries)
+			writeWholeList(&text, 1, entries)
 			d := NewDirectory(nil, nil)
-			a := mustRead(b, d, strings.NewReader(text.String()))
+			a := mustReadAnswer(b, d, strings.NewReader(text.String()))
 			d.Apply(&a.Update, time.Now())
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				a := mustRead(b, d, strings.NewReader(fmt.Sprintf(`{"generation":2,"reset":false,"instances":[{"instanceId":"s-%08x","hostPort":"h:1","cell":%d,"lifecycle":"up"}]}`, i%entries, i)))
+				a := mustReadAnswer(b, d, strings.NewReader(fmt.Sprintf(`{"generation":2,"reset":false,"instances":[{"instanceId":"s-%08x","hostPort":"h:1","cell":%d,"lifecycle":"up"}]}`, i%entries, i)))
 				if rows := d.Apply(&a.Update, time.Now()); len(rows) != 1 {
 					b.Fatalf("%d rows", len(rows))
 				}
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -30,7 +30,7 @@
 				denied[a.ID] = true
 				continue
 			}
-			if conn := n.transport.takeIdle(a.Endpoint, n.target(a.Endpoint).Addr); conn != nil {
+			if conn := n.transport.takeIdle(a.Endpoint, n.target(a.Endpoint).Address); conn != nil {
 				kept[a.ID] = conn
 				n.pendingRecords = append(n.pendingRecords, n.sendRecord(a.ID, a.Endpoint))
 			} else {
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -279,7 +279,7 @@
 // applyCommand carries out an operator's word. It holds once it is in the journal, so that it outlives the process; the
 // module hears of it before anything else happens.
 func (n *Node) applyCommand(o operatorCommand) {
-	ep, known := n.directory.Lookup(o.endpoint)
+	ep, known := n.directory.LookupID(o.endpoint)
 	if !known {
 		o.answer <- errors.New("no such endpoint")
 		return
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -73,7 +73,7 @@
 	expectOperatorAnswer(t, admin, "disable-server s-0", "ok")
 	round(c, "out")
 	expectOperatorAnswer(t, admin, "disable-server s-0", "ok") // no second call back will be needed
-	for i, list := range []discovery.List{{Reset: true, Instances: instancesOf(a, b)}, {Instances: []discovery.Instance{{ID: "s-0", Dest: 1, Lifecycle: "removed"}}},
+	for i, list := range []discovery.List{{Reset: true, Instances: instancesOf(a, b)}, {Instances: []discovery.Instance{{ID: "s-0", Destination: 1, Lifecycle: "removed"}}},
 		{Instances: instancesOf(a)}} {
 		list.Generation = int64(2 + i)
 		p.update(func() { p.list = list })
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -27,7 +27,7 @@
 }
 
 func (n *Node) sendRecord(id string, ep logic.EndpointID) record {
-	return record{Op: opSend, ID: id, SentAt: n.clock.Now(), Zone: n.target(ep).Zone}
+	return record{Op: opSend, ID: id, SentAt: n.clock.NowMicros(), Zone: n.target(ep).ZoneIndex}
 }
 
 // requestWritePermission asks the loop whether a call may be written, until ctx is over.
@@ -54,7 +54,7 @@
 	attempt := h.attempts
 	h.attempts++
 	to := n.target(a.Endpoint)
-	in := &call{id: a.ID, attempt: attempt, endpoint: a.Endpoint, addr: to.Addr, destination: to.Dest, timeout: toDuration(a.GiveUp),
+	in := &call{id: a.ID, attempt: attempt, endpoint: a.Endpoint, addr: to.Address, destination: to.Destination, timeout: toDuration(a.GiveUp),
 		state: new(atomic.Int32), reusedConn: kept}
 	in.mayWrite = func(ctx context.Context) bool { return n.requestWritePermission(ctx, in) }
 	if e := n.journal.Entry(a.ID); e != nil && e.MayHaveRun { // a repeat: by the end of the window it must be written
@@ -66,7 +66,7 @@
 	h.cancelCall, h.call = stop, in
 	n.trace.send(in, n.listGeneration)
 	var err error
-	if in.request, err = newDeliveryRequest(h.message, to.Addr, in.timeout); err != nil || !written {
+	if in.request, err = newDeliveryRequest(h.message, to.Address, in.timeout); err != nil || !written {
 		if err != nil {
 			n.log.Error("call", "err", err)
 			if written && kept != nil {
@@ -104,12 +104,12 @@
 func (n *Node) withholdCallsForWait(ep logic.EndpointID) {
 	to := n.target(ep)
 	kinds := n.cfg.Deployment.Settings.Kinds
-	apart := to.Kind >= 0 && to.Kind < len(kinds) && kinds[to.Kind].SeparateRoutes
-	n.withholdCalls(func(x logic.EndpointID) bool { return x == ep || !apart && n.target(x).Dest == to.Dest })
+	apart := to.KindIndex >= 0 && to.KindIndex < len(kinds) && kinds[to.KindIndex].SeparateRoutes
+	n.withholdCalls(func(x logic.EndpointID) bool { return x == ep || !apart && n.target(x).Destination == to.Destination })
 }
 
 func (n *Node) probe(work context.Context, ep logic.EndpointID) {
-	addr := n.target(ep).Addr
+	addr := n.target(ep).Address
 	go func() {
 		out := logic.ConnRefused
 		if req, err := newProbeRequest(addr); err == nil {
--- a/internal/node/clock_test.go
+++ b/internal/node/clock_test.go
@@ -11,7 +11,7 @@
 	for name, step := range map[string]time.Duration{"an hour forward": time.Hour, "an hour back": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, c, p, eps := startNodeWithEndpoints(t, 1, func(n *Node) { n.clock.Follow(n.clock.Now() + step.Microseconds()) })
+			_, c, p, eps := startNodeWithEndpoints(t, 1, func(n *Node) { n.clock.ContinueFrom(n.clock.NowMicros() + step.Microseconds()) })
 			c.put("a", "keyed", "+OK")
 			await(t, eps[0].calls, "call").reply(500)
 			in := await(t, eps[0].calls, "call again, within its window")
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -27,7 +27,7 @@
 
 // maxListBytes is how long an answer of discovery may be. Beside it, what it holds is kept twice for a moment.
 func (l Limits) maxListBytes() int64 {
-	return max(int64(l.MemoryMB*(1<<20)/8), discovery.LeastBytes)
+	return max(int64(l.MemoryMB*(1<<20)/8), discovery.MinAnswerLimitBytes)
 }
 
 // diskMarginBytes stays free: files are counted in whole blocks, and the platform ends a sender that has more than its disk.
--- a/internal/node/crossing_test.go
+++ b/internal/node/crossing_test.go
@@ -192,7 +192,7 @@
 		}()
 		p := newTestPlatform(t)
 		known := discovery.List{Generation: 1, Reset: true, Instances: []discovery.Instance{{ID: "s", HostPort: ln.Addr().String(), Zone: "a", Kind: "std",
-			Dest: 1, Lifecycle: "up", Weight: 100}}}
+			Destination: 1, Lifecycle: "up", Weight: 100}}}
 		p.list = known
 		n := startNode(t, p, t.TempDir(), known)
 		dialClient(t, n.addr).put("a", "unsafe", "+OK")
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -19,9 +19,9 @@
 	restart    bool
 }
 
-func (r *watchStartRecorder) Begin(generation int64, restart bool) {
+func (r *watchStartRecorder) SetInitialState(generation int64, restart bool) {
 	r.generation, r.restart = generation, restart
-	r.listWatcher.Begin(generation, restart)
+	r.listWatcher.SetInitialState(generation, restart)
 }
 
 func recordWatchStart(n *Node) *watchStartRecorder {
@@ -32,7 +32,7 @@
 
 // applyList has the loop take a list.
 func applyList(n *Node, l discovery.List) {
-	n.handleListEvent(discovery.Event{Update: n.directory.Reduce(l), News: true})
+	n.handleListEvent(discovery.Event{Update: n.directory.Diff(l), HasUpdate: true})
 }
 
 // A sender that finds its folder in use comes back on a list that may be old, also if its journal is empty, as after a
@@ -88,9 +88,9 @@
 			for k := range rows {
 				l.Instances = append(l.Instances, discovery.Instance{ID: strconv.Itoa(k), HostPort: fmt.Sprintf("h:%d", i+1), Lifecycle: "up"})
 			}
-			u := n.directory.Reduce(l)
+			u := n.directory.Diff(l)
 			at := time.Now()
-			n.handleListEvent(discovery.Event{Update: u, News: true})
+			n.handleListEvent(discovery.Event{Update: u, HasUpdate: true})
 			least = min(least, time.Since(at))
 		}
 		return least
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -126,10 +126,10 @@
 
 // waitTargetOf is where a wait of an endpoint holds.
 func (n *Node) waitTargetOf(ep logic.EndpointID, to discovery.Target) waitTarget {
-	if kinds := n.cfg.Deployment.Settings.Kinds; to.Kind >= 0 && to.Kind < len(kinds) && kinds[to.Kind].SeparateRoutes {
-		return waitTarget{to.Dest, ep}
+	if kinds := n.cfg.Deployment.Settings.Kinds; to.KindIndex >= 0 && to.KindIndex < len(kinds) && kinds[to.KindIndex].SeparateRoutes {
+		return waitTarget{to.Destination, ep}
 	}
-	return waitTarget{destination: to.Dest}
+	return waitTarget{destination: to.Destination}
 }
 
 // checkSend says which rule a call of h to an endpoint would break now; empty if none.
@@ -141,7 +141,7 @@
 		return ruleSingleAttempt
 	case to.Lifecycle != "" && to.Lifecycle != "up" || n.journal.disabled[n.directory.Name(ep)]:
 		return ruleDrain
-	case to.Dest != h.message.Destination:
+	case to.Destination != h.message.Destination:
 		return ruleDestination
 	case !now.Before(n.clock.Time(h.message.Deadline)):
 		return ruleDeadline
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -245,7 +245,7 @@
 // packState makes the state transfer. Both processes together may hold so many descriptors: what goes beyond that stays here, calls
 // going first and idle connections last.
 func (n *Node) packState(inRows bool) (*stateTransfer, *transferConns, []net.Conn) {
-	p := &stateTransfer{At: n.clock.Now(), Clock: toMicros(time.Since(n.startedAt)), Discovery: n.watcher.Address(),
+	p := &stateTransfer{At: n.clock.NowMicros(), Clock: toMicros(time.Since(n.startedAt)), Discovery: n.watcher.BaseURL(),
 		Generation: n.listGeneration, Recent: map[string]int64{}}
 	if inRows {
 		p.Module, p.Names = n.sender.SaveWithoutTables(), n.nameCount()
@@ -256,7 +256,7 @@
 		}
 		for _, id := range p.IDs {
 			if t, ok := n.directory.Target(id); ok {
-				p.Targets[id] = transferTarget{t.Addr, t.Zone, t.Kind, t.Dest, t.Lifecycle, t.Weight}
+				p.Targets[id] = transferTarget{t.Address, t.ZoneIndex, t.KindIndex, t.Destination, t.Lifecycle, t.Weight}
 			}
 		}
 	}
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -26,7 +26,7 @@
 func TestUpgradeHandsEverythingOver(t *testing.T) {
 	p, e, dir, known, old := startUpgradeProcess(t)
 	other := newTestEndpoint(t)
-	list := append(instancesOf(e, other), discovery.Instance{ID: "s-w", HostPort: other.addr(), Zone: "a", Kind: "std", Dest: 2,
+	list := append(instancesOf(e, other), discovery.Instance{ID: "s-w", HostPort: other.addr(), Zone: "a", Kind: "std", Destination: 2,
 		Lifecycle: "up", Weight: 100})
 	p.update(func() { p.list = discovery.List{Generation: 2, Reset: true, Instances: list} })
 	awaitListRequestFrom(t, p, 2)
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -251,7 +251,7 @@
 func instancesOf(eps ...*testEndpoint) []discovery.Instance {
 	var out []discovery.Instance
 	for i, e := range eps {
-		out = append(out, discovery.Instance{ID: fmt.Sprintf("s-%d", i), HostPort: e.addr(), Zone: "a", Kind: "std", Dest: 1,
+		out = append(out, discovery.Instance{ID: fmt.Sprintf("s-%d", i), HostPort: e.addr(), Zone: "a", Kind: "std", Destination: 1,
 			Lifecycle: "up", Weight: 100})
 	}
 	return out
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -147,7 +147,7 @@
 			break
 		}
 		j.apply(rec)
-		j.size = r.Whole()
+		j.size = r.Offset()
 	}
 	info, err := f.Stat()
 	if err != nil {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -157,7 +157,7 @@
 // forgetExpired drops ids that nobody can hand in any more, and endpoints that are gone.
 func (n *Node) forgetExpired() {
 	now := time.Now()
-	n.directory.Forget(now, func(name string, id logic.EndpointID) bool {
+	n.directory.RemoveExpired(now, func(name string, id logic.EndpointID) bool {
 		if n.journal.disabled[name] {
 			return true
 		}
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -22,7 +22,7 @@
 	same := saved.Origin == n.cfg.DiscoveryAddr
 	if err == nil && (same && saved.Generation > known.Generation || !given) {
 		if saved, err = n.listStore.Load(func(rows []discovery.Instance) error {
-			u := n.directory.Reduce(discovery.List{Instances: rows})
+			u := n.directory.Diff(discovery.List{Instances: rows})
 			n.directory.Apply(&u, now)
 			return nil
 		}); err == nil {
@@ -38,7 +38,7 @@
 		n.log.Warn("the saved list is not used", "err", err)
 	}
 	known.Reset = true // what a saved list has told that broke off is dropped
-	u := n.directory.Reduce(known)
+	u := n.directory.Diff(known)
 	n.directory.Apply(&u, now)
 	if !given {
 		return -1, false
@@ -51,38 +51,38 @@
 // next whole list tells it, and nothing is saved until then. A long list would keep clients waiting.
 func (n *Node) matchSavedList(origin string, generation int64) {
 	saved, err := n.listStore.Peek()
-	if n.directory.Known() || err != nil || "http://"+saved.Origin != origin || saved.Generation != generation || saved.Count > maxMatchedRows {
+	if n.directory.AllStatesKnown() || err != nil || "http://"+saved.Origin != origin || saved.Generation != generation || saved.RowCount > maxMatchedRows {
 		return
 	}
 	now := time.Now()
 	if _, err := n.listStore.Load(func(rows []discovery.Instance) error {
-		u := n.directory.Reduce(discovery.List{Instances: rows})
+		u := n.directory.Diff(discovery.List{Instances: rows})
 		n.directory.Apply(&u, now) // the module knows it
 		return nil
 	}); err != nil {
 		n.log.Warn("the saved list is not used", "err", err)
 		return
 	}
-	n.directory.Settle(now)
+	n.directory.MarkUnknownUnlisted(now)
 }
 
 func (n *Node) handleListEvent(ev discovery.Event) {
 	if ev.Err != nil {
 		n.watching = false
-		n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListRequestFailed, Unresponsive: ev.Silent})
-		if n.watcher.IsMoved() { // meanwhile, so the failure was not the new address's
+		n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListRequestFailed, Unresponsive: ev.Unresponsive})
+		if n.watcher.AddressChanged() { // meanwhile, so the failure was not the new address's
 			n.nextEvents = append(n.nextEvents, logic.DiscoveryMoved{})
 		}
 		return
 	}
 	switch {
-	case ev.Watched:
+	case ev.WatchAccepted:
 		n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListWatchOpen})
 		return
-	case ev.Begun:
+	case ev.AnswerBegun:
 		n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListAnswerBegun})
 		return
-	case ev.Unusable:
+	case ev.UnusableAnswer:
 		n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListAnswerUnusable})
 		return
 	}
@@ -92,11 +92,11 @@
 	if ev.Done != nil {
 		ev.Done()
 	}
-	if u.Unusable > 0 || u.Duplicates > 0 {
-		n.log.Warn("list", "generation", u.Generation, "entries that make no sense", u.Unusable, "duplicates", u.Duplicates)
+	if u.UnusableRows > 0 || u.DuplicateRows > 0 {
+		n.log.Warn("list", "generation", u.Generation, "entries that make no sense", u.UnusableRows, "duplicates", u.DuplicateRows)
 	}
-	if u.Omitted > 0 && len(u.Rows) > 0 {
-		n.log.Warn("list, too many endpoints of one destination", "generation", u.Generation, "left aside", u.Omitted)
+	if u.OmittedEndpoints > 0 && len(u.Rows) > 0 {
+		n.log.Warn("list, too many endpoints of one destination", "generation", u.Generation, "left aside", u.OmittedEndpoints)
 	}
 	if len(rows) > 0 || u.Whole {
 		n.log.Info("list", "generation", u.Generation, "whole", u.Whole, "entries", len(rows), "listed", n.directory.Len())
@@ -115,7 +115,7 @@
 			continue
 		}
 		state, ok := changed[h.call.endpoint]
-		if to := n.target(h.call.endpoint); ok && (state != logic.Ready || h.call.addr != to.Addr || h.call.destination != to.Dest) {
+		if to := n.target(h.call.endpoint); ok && (state != logic.Ready || h.call.addr != to.Address || h.call.destination != to.Destination) {
 			h.withholdCall() // else it would connect to where the endpoint was
 		}
 	}
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -54,7 +54,7 @@
 	n.held[id] = &heldMessage{message: &m}
 	n.openMessages++
 	n.newPuts = append(n.newPuts, ev)
-	n.nextEvents = append(n.nextEvents, n.logicCall(&m, n.clock.Now()))
+	n.nextEvents = append(n.nextEvents, n.logicCall(&m, n.clock.NowMicros()))
 }
 
 // putInThisStep says whether the message came since the last step.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,11 +25,11 @@
 
 // listWatcher watches the list and sends a discovery.Event for what it learns.
 type listWatcher interface {
-	Begin(generation int64, restart bool)
+	SetInitialState(generation int64, restart bool)
 	Watch(ctx context.Context)
-	Move(addr string)
-	IsMoved() bool
-	Address() string
+	SetAddress(addr string)
+	AddressChanged() bool
+	BaseURL() string
 }
 
 // Node is one sender.
@@ -104,8 +104,8 @@
 // setMembershipMode sets what follows for the module from where the list comes from.
 func setMembershipMode(set *logic.Settings) {
 	set.ListPushed = !set.ListOnRequest
-	if set.ListOnRequest && set.Senders >= discovery.SpreadFrom { // with pauses between its calls for the list
-		set.MaxListAge = toMicros(discovery.ListAge) + set.DrainGrace
+	if set.ListOnRequest && set.Senders >= discovery.SpreadMinSenders { // with pauses between its calls for the list
+		set.MaxListAge = toMicros(discovery.MaxListAge) + set.DrainGrace
 	}
 }
 
@@ -172,8 +172,8 @@
 // newDiscoveryClient is the client that watches the list for this sender.
 func (n *Node) newDiscoveryClient() *discovery.Client {
 	set := &n.cfg.Deployment.Settings
-	return discovery.NewClient(discovery.Config{Addr: n.cfg.DiscoveryAddr, Senders: set.Senders, Pushed: set.ListPushed, Grace: toDuration(set.DrainGrace),
-		Seed: n.cfg.Seed, MaxBytes: n.cfg.Limits.maxListBytes(), Directory: n.directory, Store: n.listStore, Log: n.log}, n.events)
+	return discovery.NewClient(discovery.Config{Addr: n.cfg.DiscoveryAddr, Senders: set.Senders, Pushed: set.ListPushed, DrainGrace: toDuration(set.DrainGrace),
+		Seed: n.cfg.Seed, MaxAnswerBytes: n.cfg.Limits.maxListBytes(), Directory: n.directory, Store: n.listStore, Log: n.log}, n.events)
 }
 
 // target is where an endpoint can be reached; without an address if it never had one.
@@ -189,7 +189,7 @@
 // MoveDiscovery takes another address of discovery, for the list and for notices. It may be called at any time.
 func (n *Node) MoveDiscovery(addr string) {
 	n.log.Info("discovery has moved", "addr", addr)
-	n.watcher.Move(addr)
+	n.watcher.SetAddress(addr)
 	n.notices.setAddr(addr)
 	select {
 	case n.discoveryMoves <- struct{}{}:
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -612,19 +612,19 @@
 		{"wait, one limit", false, func(n *Node) { n.withholdCallsForWait(1) }, [4]bool{true, true, false, false}},
 		{"wait, routes apart", true, func(n *Node) { n.withholdCallsForWait(1) }, [4]bool{true, false, false, false}},
 		{"drain", false, func(n *Node) {
-			applyList(n, discovery.List{Instances: []discovery.Instance{{ID: "b", Dest: 1, Lifecycle: "draining"}}})
+			applyList(n, discovery.List{Instances: []discovery.Instance{{ID: "b", Destination: 1, Lifecycle: "draining"}}})
 		}, [4]bool{false, true, false, false}},
 		{"whole list", false, func(n *Node) {
-			applyList(n, discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "a", Dest: 1, Lifecycle: "up"}}})
+			applyList(n, discovery.List{Reset: true, Instances: []discovery.Instance{{ID: "a", Destination: 1, Lifecycle: "up"}}})
 		}, [4]bool{false, true, true, false}},
 		{"another address", false, func(n *Node) {
-			applyList(n, discovery.List{Instances: []discovery.Instance{{ID: "b", HostPort: "h:9", Dest: 1, Lifecycle: "up"}}})
+			applyList(n, discovery.List{Instances: []discovery.Instance{{ID: "b", HostPort: "h:9", Destination: 1, Lifecycle: "up"}}})
 		}, [4]bool{false, true, false, false}},
 		{"another destination", false, func(n *Node) {
-			applyList(n, discovery.List{Instances: []discovery.Instance{{ID: "c", HostPort: "h:3", Dest: 1, Lifecycle: "up"}}})
+			applyList(n, discovery.List{Instances: []discovery.Instance{{ID: "c", HostPort: "h:3", Destination: 1, Lifecycle: "up"}}})
 		}, [4]bool{false, false, true, false}},
 		{"as before", false, func(n *Node) {
-			applyList(n, discovery.List{Instances: []discovery.Instance{{ID: "c", HostPort: "h:3", Dest: 2, Lifecycle: "up"}}})
+			applyList(n, discovery.List{Instances: []discovery.Instance{{ID: "c", HostPort: "h:3", Destination: 2, Lifecycle: "up"}}})
 		}, [4]bool{false, false, false, false}},
 	} {
 		cfg, err := ParseConfig(configText(newTestPlatform(t), discovery.List{}))
@@ -638,12 +638,12 @@
 			t.Fatal(err)
 		}
 		defer n.journal.Close()
-		applyList(n, discovery.List{Instances: []discovery.Instance{{ID: "a", HostPort: "h:1", Kind: "std", Dest: 1},
-			{ID: "b", HostPort: "h:2", Kind: "std", Dest: 1}, {ID: "c", HostPort: "h:3", Kind: "std", Dest: 2}}})
+		applyList(n, discovery.List{Instances: []discovery.Instance{{ID: "a", HostPort: "h:1", Kind: "std", Destination: 1},
+			{ID: "b", HostPort: "h:2", Kind: "std", Destination: 1}, {ID: "c", HostPort: "h:3", Kind: "std", Destination: 2}}})
 		var calls []*call
 		for i, ep := range []logic.EndpointID{1, 2, 3, 1} {
 			to := n.target(ep)
-			calls = append(calls, &call{endpoint: ep, addr: to.Addr, destination: to.Dest, state: new(atomic.Int32)})
+			calls = append(calls, &call{endpoint: ep, addr: to.Address, destination: to.Destination, state: new(atomic.Int32)})
 			n.held[fmt.Sprint("m", i)] = &heldMessage{call: calls[i], cancelCall: func(error) {}}
 		}
 		calls[3].state.Store(callWritten)
--- a/internal/node/ready_test.go
+++ b/internal/node/ready_test.go
@@ -80,7 +80,7 @@
 func manyInstances(n int) []discovery.Instance {
 	list := make([]discovery.Instance, n)
 	for i := range list {
-		list[i] = discovery.Instance{ID: fmt.Sprintf("s-%08x", i), HostPort: "127.0.0.1:1", Zone: "a", Kind: "std", Dest: int64(1e6 + i), Lifecycle: "up", Weight: 100}
+		list[i] = discovery.Instance{ID: fmt.Sprintf("s-%08x", i), HostPort: "127.0.0.1:1", Zone: "a", Kind: "std", Destination: int64(1e6 + i), Lifecycle: "up", Weight: 100}
 	}
 	return list
 }
--- a/internal/node/replay.go
+++ b/internal/node/replay.go
@@ -14,11 +14,11 @@
 	if listed {
 		n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListCached, Entries: n.directory.Entries(), Stale: n.restarted || n.cfg.Deployment.Settings.ListPushed})
 	}
-	n.watcher.Begin(known, n.restarted)
+	n.watcher.SetInitialState(known, n.restarted)
 	for _, id := range n.journal.DisabledEndpoints() {
-		n.nextEvents = append(n.nextEvents, logic.Ban{Endpoint: n.directory.Number(id)})
+		n.nextEvents = append(n.nextEvents, logic.Ban{Endpoint: n.directory.AssignID(id)})
 	}
-	now := n.clock.Now()
+	now := n.clock.NowMicros()
 	for _, e := range n.journal.Entries() {
 		if e.EndNotice != nil {
 			n.notices.add(*e.EndNotice)
--- a/internal/node/reserve_test.go
+++ b/internal/node/reserve_test.go
@@ -152,7 +152,7 @@
 			late := newTestEndpoint(t)
 			known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(hung...)}
 			for i := range known.Instances {
-				known.Instances[i].Dest, known.Instances[i].Weight = int64(i+1), 1e6
+				known.Instances[i].Destination, known.Instances[i].Weight = int64(i+1), 1e6
 			}
 			o.list = known
 			text := strings.NewReplacer(`"call_slots":6`, fmt.Sprintf(`"call_slots":%d`, slots), `"max_open":8`, `"max_open":400`).
@@ -192,7 +192,7 @@
 			}
 			at := time.Now()
 			known.Generation = 2
-			known.Instances = append(known.Instances, discovery.Instance{ID: "late", HostPort: late.addr(), Zone: "a", Kind: "std", Dest: 3, Lifecycle: "up", Weight: 1e6})
+			known.Instances = append(known.Instances, discovery.Instance{ID: "late", HostPort: late.addr(), Zone: "a", Kind: "std", Destination: 3, Lifecycle: "up", Weight: 1e6})
 			o.update(func() { o.list = known })
 			o.setState(t, "up")
 			in := await(t, late.calls, "call at the new endpoint")
--- a/internal/node/saved_list_test.go
+++ b/internal/node/saved_list_test.go
@@ -69,11 +69,11 @@
 }
 
 // readSavedList reads a folder's list as the next process would; the store there is the sender's.
-func readSavedList(t *testing.T, dir string) (discovery.Saved, map[string]discovery.Instance, error) {
+func readSavedList(t *testing.T, dir string) (discovery.SavedInfo, map[string]discovery.Instance, error) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(dir, "list"))
 	if err != nil {
-		return discovery.Saved{}, nil, err
+		return discovery.SavedInfo{}, nil, err
 	}
 	at := t.TempDir()
 	if err := os.WriteFile(filepath.Join(at, "list"), text, 0o600); err != nil {
@@ -100,7 +100,7 @@
 	x := startProcess(t, p, dir, known)
 	awaitSavedList(t, dir, 5)
 	changed := instancesOf(e, e)[:1] // s-0 has another address, s-1 is gone
-	changed = append(changed, discovery.Instance{ID: "s-1", Dest: 1, Lifecycle: "removed"})
+	changed = append(changed, discovery.Instance{ID: "s-1", Destination: 1, Lifecycle: "removed"})
 	p.update(func() { p.list = discovery.List{Generation: 6, Instances: changed} })
 	awaitSavedList(t, dir, 6)
 	x.kill()
@@ -220,7 +220,7 @@
 			cfg.Limits.DiskMB = x.disk
 			entry := func(i, step int) discovery.Instance {
 				return discovery.Instance{ID: fmt.Sprint("x-", i), HostPort: fmt.Sprintf("127.%d.%d.%d:%d", i*7%250, i*31%250, i%250, 2000+step),
-					Zone: "a", Kind: "std", Dest: int64(100 + i), Lifecycle: "up", Weight: 100}
+					Zone: "a", Kind: "std", Destination: int64(100 + i), Lifecycle: "up", Weight: 100}
 			}
 			want := map[string]discovery.Instance{"s-0": instancesOf(e)[0]}
 			whole := instancesOf(e)
--- a/internal/node/saved_test.go
+++ b/internal/node/saved_test.go
@@ -48,7 +48,7 @@
 		n := startNode(t, p, dir, known)
 		awaitSavedList(t, dir, 5)
 		p.update(func() {
-			p.list = discovery.List{Generation: 6, Instances: []discovery.Instance{{ID: "s-1", Dest: 1, Lifecycle: "removed"}}}
+			p.list = discovery.List{Generation: 6, Instances: []discovery.Instance{{ID: "s-1", Destination: 1, Lifecycle: "removed"}}}
 		})
 		awaitSavedList(t, dir, 6)
 		stopNode(t, n)
@@ -121,9 +121,9 @@
 		}
 		start := recordWatchStart(n)
 		n.resumeFromJournal()
-		id, _ := n.directory.Lookup("s-0")
-		if start.generation != x.generation || n.target(id).Addr != x.addr || len(refused) != 0 != x.spoil || n.listGeneration != max(x.generation, 0) {
-			t.Errorf("%s: begins with generation %d and %q, refused %v", name, start.generation, n.target(id).Addr, len(refused) != 0)
+		id, _ := n.directory.LookupID("s-0")
+		if start.generation != x.generation || n.target(id).Address != x.addr || len(refused) != 0 != x.spoil || n.listGeneration != max(x.generation, 0) {
+			t.Errorf("%s: begins with generation %d and %q, refused %v", name, start.generation, n.target(id).Address, len(refused) != 0)
 		}
 		n.close()
 	}
@@ -168,11 +168,11 @@
 			t.Fatal(err)
 		}
 		for i, name := range []string{"s-0", "s-1", "gone"} {
-			n.directory.Adopt(name, 10+n.directory.Number("")+1, discovery.Target{Addr: rows[i%2].HostPort, Dest: 1})
+			n.directory.Adopt(name, 10+n.directory.AssignID("")+1, discovery.Target{Address: rows[i%2].HostPort, Destination: 1})
 		}
 		n.matchSavedList("http://"+cfg.DiscoveryAddr, generation)
-		if got := n.directory.Known() && n.directory.Len() == 2; got != want {
-			t.Errorf("generation %d: known %v, %d entries", generation, n.directory.Known(), n.directory.Len())
+		if got := n.directory.AllStatesKnown() && n.directory.Len() == 2; got != want {
+			t.Errorf("generation %d: known %v, %d entries", generation, n.directory.AllStatesKnown(), n.directory.Len())
 		}
 		n.close()
 	}
--- a/internal/node/size_test.go
+++ b/internal/node/size_test.go
@@ -25,7 +25,7 @@
 	rows := make([]discovery.Instance, 0, 2*dests)
 	for i := range 2 * dests {
 		rows = append(rows, discovery.Instance{ID: fmt.Sprintf("instance-%06d", i), HostPort: fmt.Sprintf("10.%d.%d.%d:8080",
-			i>>16, i>>8&255, i&255), Zone: "a", Kind: "std", Dest: int64(i / 2), Lifecycle: "up", Weight: 30})
+			i>>16, i>>8&255, i&255), Zone: "a", Kind: "std", Destination: int64(i / 2), Lifecycle: "up", Weight: 30})
 	}
 	entries := n.directory.Apply(&discovery.Update{Generation: 1, Whole: true, Rows: rows}, time.Now())
 	n.sender.Step(0, []logic.Event{logic.ListUpdate{Form: logic.ListFull, Entries: entries}})
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -197,7 +197,7 @@
 
 // adopt goes on with what another process has handed over.
 func (n *Node) adopt(work context.Context, l *takeover) {
-	n.clock.Follow(l.At)
+	n.clock.ContinueFrom(l.At)
 	n.startedAt = n.clock.Time(l.At).Add(-toDuration(l.Clock))
 	for _, x := range l.names {
 		n.directory.Adopt(x.name, x.id, x.target)
@@ -205,15 +205,15 @@
 	l.names, l.Module = nil, logic.Saved{}
 	for name, id := range l.IDs {
 		t := l.Targets[id]
-		n.directory.Adopt(name, id, discovery.Target{Addr: t.Addr, Zone: t.Zone, Dest: t.Dest, Kind: t.Kind,
+		n.directory.Adopt(name, id, discovery.Target{Address: t.Addr, ZoneIndex: t.Zone, Destination: t.Dest, KindIndex: t.Kind,
 			Lifecycle: t.Lifecycle, Weight: t.Weight})
 	}
 	known := int64(-1)
-	if l.Discovery == n.watcher.Address() && l.Generation != 0 {
+	if l.Discovery == n.watcher.BaseURL() && l.Generation != 0 {
 		known, n.listGeneration = l.Generation, l.Generation
 	}
 	n.matchSavedList(l.Discovery, l.Generation)
-	n.watcher.Begin(known, true) // this is no first start: the watch goes on at once
+	n.watcher.SetInitialState(known, true) // this is no first start: the watch goes on at once
 	for id, t := range l.Recent {
 		n.recentIDs[id] = n.clock.Time(t)
 	}
@@ -242,7 +242,7 @@
 			conns = conns[1:]
 			continue
 		}
-		h.call = &call{id: x.ID, attempt: x.Attempt, endpoint: x.Endpoint, addr: n.target(x.Endpoint).Addr,
+		h.call = &call{id: x.ID, attempt: x.Attempt, endpoint: x.Endpoint, addr: n.target(x.Endpoint).Address,
 			startedAt: n.clock.Time(x.At), timeout: time.Duration(x.By-x.At) * time.Microsecond,
 			request: &http.Request{Method: http.MethodPost}, state: new(atomic.Int32)}
 		h.call.state.Store(callSent)
@@ -256,7 +256,7 @@
 	}
 	for _, x := range l.Idle {
 		if conn := conns[0]; conn != nil {
-			kept := newEndpointConn(conn, n.target(x.Endpoint).Addr)
+			kept := newEndpointConn(conn, n.target(x.Endpoint).Address)
 			if !n.transport.putIdle(x.Endpoint, kept) {
 				conn.Close()
 			}
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -82,10 +82,10 @@
 	b = append(b, nameRowTag)
 	b = append(binary.AppendUvarint(b, uint64(len(x.name))), x.name...)
 	b = binary.AppendUvarint(b, uint64(x.id))
-	b = append(binary.AppendUvarint(b, uint64(len(x.target.Addr))), x.target.Addr...)
-	b = binary.AppendVarint(b, int64(x.target.Zone))
-	b = binary.AppendVarint(b, int64(x.target.Kind))
-	b = binary.AppendVarint(b, x.target.Dest)
+	b = append(binary.AppendUvarint(b, uint64(len(x.target.Address))), x.target.Address...)
+	b = binary.AppendVarint(b, int64(x.target.ZoneIndex))
+	b = binary.AppendVarint(b, int64(x.target.KindIndex))
+	b = binary.AppendVarint(b, x.target.Destination)
 	b = append(binary.AppendUvarint(b, uint64(len(x.target.Lifecycle))), x.target.Lifecycle...)
 	return binary.LittleEndian.AppendUint64(b, math.Float64bits(x.target.Weight))
 }
@@ -113,7 +113,7 @@
 		return s
 	}
 	x.name, x.id = text(), logic.EndpointID(number())
-	x.target = discovery.Target{Addr: text(), Zone: int(signed()), Kind: int(signed()), Dest: signed()}
+	x.target = discovery.Target{Address: text(), ZoneIndex: int(signed()), KindIndex: int(signed()), Destination: signed()}
 	if len(b) > 0 {
 		x.target.Lifecycle = text()
 		if bad = bad || len(b) < 8; !bad {
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -140,9 +140,9 @@
 	heard := serveRecordedState(t, dir, recordedState(t, a.addr(), b.addr(), w.addr()), ln.(*net.TCPListener), out.(*net.TCPConn),
 		idle.(*net.TCPConn), client.(*net.TCPConn))
 	known := discovery.List{Generation: 7, Reset: true, Instances: []discovery.Instance{
-		{ID: "s-0", HostPort: a.addr(), Zone: "a", Kind: "std", Dest: 1, Lifecycle: "up", Weight: 100},
-		{ID: "s-1", HostPort: b.addr(), Zone: "b", Kind: "std", Dest: 1, Lifecycle: "up", Weight: 100},
-		{ID: "s-w", HostPort: w.addr(), Zone: "a", Kind: "std", Dest: 2, Lifecycle: "up", Weight: 100}}}
+		{ID: "s-0", HostPort: a.addr(), Zone: "a", Kind: "std", Destination: 1, Lifecycle: "up", Weight: 100},
+		{ID: "s-1", HostPort: b.addr(), Zone: "b", Kind: "std", Destination: 1, Lifecycle: "up", Weight: 100},
+		{ID: "s-w", HostPort: w.addr(), Zone: "a", Kind: "std", Destination: 2, Lifecycle: "up", Weight: 100}}}
 	p.list = known
 	n := startNodeWithAdmin(t, p, dir, known)
 	for _, want := range []string{handoverRequestRows + " -", "take 1 -", "taken"} {
@@ -196,7 +196,7 @@
 	}
 	for name, id := range l.IDs {
 		x := l.Targets[id]
-		n.directory.Adopt(name, id, discovery.Target{Addr: x.Addr, Zone: x.Zone, Dest: x.Dest, Kind: x.Kind})
+		n.directory.Adopt(name, id, discovery.Target{Address: x.Addr, ZoneIndex: x.Zone, Destination: x.Dest, KindIndex: x.Kind})
 	}
 	p, _, _ := n.packState(false)
 	p.At, p.Clock, p.Generation, p.Discovery = l.At, l.Clock, l.Generation, l.Discovery
@@ -234,8 +234,8 @@
 func TestTransferFormatsCarrySameState(t *testing.T) {
 	owner := newLargeNode(t, 300)
 	for i, name := range []string{"", "far-away", "none"} {
-		owner.directory.Adopt(name, logic.EndpointID(100_000+i), discovery.Target{Addr: []string{"[::1]:9", "h:1", ""}[i], Zone: -1,
-			Kind: -1, Dest: -1 << 62})
+		owner.directory.Adopt(name, logic.EndpointID(100_000+i), discovery.Target{Address: []string{"[::1]:9", "h:1", ""}[i], ZoneIndex: -1,
+			KindIndex: -1, Destination: -1 << 62})
 	}
 	want, err := json.Marshal(owner.sender.Save())
 	if err != nil {
@@ -254,10 +254,10 @@
 		for name, id := range owner.directory.Names() {
 			count++
 			a, _ := owner.directory.Target(id)
-			if b, _ := n.directory.Target(id); a != b && a.Addr != "" {
+			if b, _ := n.directory.Target(id); a != b && a.Address != "" {
 				t.Errorf("%s: %s is at %+v, want %+v", word, name, b, a)
 			}
-			if got, ok := n.directory.Lookup(name); !ok || got != id {
+			if got, ok := n.directory.LookupID(name); !ok || got != id {
 				t.Errorf("%s: %s has number %d, want %d", word, name, got, id)
 			}
 		}
@@ -273,7 +273,7 @@
 	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
 	for i := range 6000 { // more than a socket holds
 		known.Instances = append(known.Instances, discovery.Instance{ID: fmt.Sprintf("%0200d", i), HostPort: "127.0.0.1:9", Zone: "a",
-			Kind: "std", Dest: int64(i + 2), Lifecycle: "up", Weight: 100})
+			Kind: "std", Destination: int64(i + 2), Lifecycle: "up", Weight: 100})
 	}
 	p.list = known
 	n := startNode(t, p, t.TempDir(), known)
@@ -312,7 +312,7 @@
 func TestHandoverRefusedWhenStateTooLargeForOneText(t *testing.T) {
 	n, c, _, eps := startNodeWithEndpoints(t, 1)
 	for i := range maxStateTextBytes/minTextBytesPerName + 1 {
-		n.directory.Adopt(fmt.Sprintf("instance-%06d", i), logic.EndpointID(i+10), discovery.Target{Addr: "h:1"})
+		n.directory.Adopt(fmt.Sprintf("instance-%06d", i), logic.EndpointID(i+10), discovery.Target{Address: "h:1"})
 	}
 	conn := requestStateInFormat(t, n.cfg.StateDir, handoverRequestText)
 	if _, err := io.ReadFull(conn, make([]byte, 8)); err != io.EOF {
--- a/internal/scale/discovery_test.go
+++ b/internal/scale/discovery_test.go
@@ -219,7 +219,7 @@
 		off := 0
 		for i := range entries {
 			r := d.Row(i)
-			if to, _ := s.dir.Target(s.dir.Number(r.ID)); to.Addr != r.HostPort || to.Dest != r.Dest {
+			if to, _ := s.dir.Target(s.dir.AssignID(r.ID)); to.Address != r.HostPort || to.Destination != r.Dest {
 				off++
 			}
 		}
@@ -249,8 +249,8 @@
 func (s *listSender) start(gen int64, restart bool) {
 	f := s.f
 	set := f.deploy.Settings
-	if set.Senders >= discovery.SpreadFrom {
-		set.MaxListAge = logic.Micros(discovery.ListAge/time.Microsecond) + set.DrainGrace
+	if set.Senders >= discovery.SpreadMinSenders {
+		set.MaxListAge = logic.Micros(discovery.MaxListAge/time.Microsecond) + set.DrainGrace
 	}
 	s.seed += 1 << 20 // new with each start
 	module, err := logic.New(set, s.seed)
@@ -265,7 +265,7 @@
 	ctx, end := context.WithCancel(context.Background())
 	s.end, s.events, s.moves = end, make(chan any, 64), make(chan struct{}, 1)
 	s.client = discovery.NewClient(discovery.Config{Addr: discoveryAddr, Senders: set.Senders,
-		Grace: time.Duration(set.DrainGrace) * time.Microsecond, Seed: s.seed, MaxBytes: f.maxBytes, Directory: s.dir, Log: slog.New(slog.DiscardHandler),
+		DrainGrace: time.Duration(set.DrainGrace) * time.Microsecond, Seed: s.seed, MaxAnswerBytes: f.maxBytes, Directory: s.dir, Log: slog.New(slog.DiscardHandler),
 		Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			f.mu.Lock()
 			f.dials++
@@ -275,7 +275,7 @@
 			return f.net.Dial(ctx, s.name, addr)
 		}}, s.events)
 	s.gen = max(gen, 0)
-	s.client.Begin(gen, restart)
+	s.client.SetInitialState(gen, restart)
 	f.running.Go(func() { s.run(ctx, module, gen, restart, s.events) })
 }
 
@@ -290,7 +290,7 @@
 
 // move tells the process of another address, as a SIGHUP does.
 func (s *listSender) move(addr string) {
-	s.client.Move(addr)
+	s.client.SetAddress(addr)
 	select {
 	case s.moves <- struct{}{}:
 	default:
@@ -359,10 +359,10 @@
 				case ev.Err != nil:
 					watching = false
 					next = append(next, logic.ListUpdate{Form: logic.ListRequestFailed})
-					if client.IsMoved() {
+					if client.AddressChanged() {
 						next = append(next, logic.DiscoveryMoved{})
 					}
-				case ev.Watched:
+				case ev.WatchAccepted:
 					next = append(next, logic.ListUpdate{Form: logic.ListWatchOpen})
 				default:
 					s.dir.Apply(&ev.Update, time.Now())
@@ -382,7 +382,7 @@
 	gen := f.disc.Generation()
 	fill := func() *discovery.Directory {
 		d := f.newDirectory()
-		u := d.Reduce(discovery.List{Generation: gen, Reset: true, Instances: instancesOf(f.disc, entries)})
+		u := d.Diff(discovery.List{Generation: gen, Reset: true, Instances: instancesOf(f.disc, entries)})
 		d.Apply(&u, time.Now())
 		return d
 	}
@@ -413,7 +413,7 @@
 	rows := make([]discovery.Instance, entries)
 	for i := range rows {
 		r := d.Row(i)
-		rows[i] = discovery.Instance{ID: r.ID, HostPort: r.HostPort, Zone: r.Zone, Kind: r.Kind, Dest: r.Dest,
+		rows[i] = discovery.Instance{ID: r.ID, HostPort: r.HostPort, Zone: r.Zone, Kind: r.Kind, Destination: r.Dest,
 			Lifecycle: r.Lifecycle, Weight: r.Weight}
 	}
 	return rows
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -18,7 +18,7 @@
 // HeaderLen is what a record takes beyond its body, in bytes.
 const HeaderLen = 8
 
-const readBuffer = 1 << 16
+const readBufferBytes = 1 << 16
 
 // ErrTorn says that the bytes after the last whole record are no record: too few of them, a length that can't be,
 // or a sum that does not fit.
@@ -34,16 +34,16 @@
 
 // Reader reads the records of a log one after the other.
 type Reader struct {
-	r     *bufio.Reader
-	most  int
-	body  []byte
-	whole int64
-	err   error
+	input        *bufio.Reader
+	maxBodyBytes int
+	body         []byte
+	offset       int64
+	err          error
 }
 
 // NewReader reads from r. A length over most bytes counts as torn; the reader holds one body of up to that size.
 func NewReader(r io.Reader, most int) *Reader {
-	return &Reader{r: bufio.NewReaderSize(r, readBuffer), most: most}
+	return &Reader{input: bufio.NewReaderSize(r, readBufferBytes), maxBodyBytes: most}
 }
 
 // Next returns the body of the next record, which stands until the next call. The error is io.EOF after the last
@@ -51,46 +51,46 @@
 // ended with. After an error Next returns the same one again.
 func (r *Reader) Next() ([]byte, error) {
 	if r.err == nil {
-		r.err = r.read()
+		r.err = r.readRecord()
 	}
 	if r.err != nil {
 		return nil, r.err
 	}
-	r.whole += HeaderLen + int64(len(r.body))
+	r.offset += HeaderLen + int64(len(r.body))
 	return r.body, nil
 }
 
-func (r *Reader) read() error {
+func (r *Reader) readRecord() error {
 	var head [HeaderLen]byte
-	if _, err := io.ReadFull(r.r, head[:]); err != nil {
-		return r.torn(err)
+	if _, err := io.ReadFull(r.input, head[:]); err != nil {
+		return r.tornError(err)
 	}
 	n := binary.LittleEndian.Uint32(head[:4])
-	if n == 0 || int64(n) > int64(r.most) {
-		return fmt.Errorf("%w: at %d, length %d", ErrTorn, r.whole, n)
+	if n == 0 || int64(n) > int64(r.maxBodyBytes) {
+		return fmt.Errorf("%w: at %d, length %d", ErrTorn, r.offset, n)
 	}
 	if cap(r.body) < int(n) {
 		r.body = make([]byte, n)
 	}
 	r.body = r.body[:n]
-	if _, err := io.ReadFull(r.r, r.body); errors.Is(err, io.EOF) {
-		return r.torn(io.ErrUnexpectedEOF)
+	if _, err := io.ReadFull(r.input, r.body); errors.Is(err, io.EOF) {
+		return r.tornError(io.ErrUnexpectedEOF)
 	} else if err != nil {
-		return r.torn(err)
+		return r.tornError(err)
 	}
 	if crc32.ChecksumIEEE(r.body) != binary.LittleEndian.Uint32(head[4:]) {
-		return fmt.Errorf("%w: at %d, wrong sum", ErrTorn, r.whole)
+		return fmt.Errorf("%w: at %d, wrong sum", ErrTorn, r.offset)
 	}
 	return nil
 }
 
-// torn tells a record that is cut short from an error of reading.
-func (r *Reader) torn(err error) error {
+// tornError tells a record that is cut short from an error of reading.
+func (r *Reader) tornError(err error) error {
 	if errors.Is(err, io.ErrUnexpectedEOF) {
-		return fmt.Errorf("%w: at %d, cut short", ErrTorn, r.whole)
+		return fmt.Errorf("%w: at %d, cut short", ErrTorn, r.offset)
 	}
 	return err
 }
 
-// Whole is how many bytes the records returned so far take in the log.
-func (r *Reader) Whole() int64 { return r.whole }
+// Offset is how many bytes the records returned so far take in the log.
+func (r *Reader) Offset() int64 { return r.offset }
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -10,7 +10,7 @@
 )
 
 // The form is what files on disk have: it must not change.
-func TestAppendForm(t *testing.T) {
+func TestAppendFormat(t *testing.T) {
 	const want = "\x03\x00\x00\x00\xc2A$5abc\x01\x00\x00\x00\x8d\xef\x02\xd2\x00"
 	if got := Append(Append(nil, []byte("abc")), []byte{0}); string(got) != want {
 		t.Errorf("got %q", got)
@@ -27,7 +27,7 @@
 			if _, again := r.Next(); again != err {
 				return nil, 0, fmt.Errorf("first %v, then %v", err, again)
 			}
-			return bodies, r.Whole(), err
+			return bodies, r.Offset(), err
 		}
 		bodies = append(bodies, string(body))
 	}
@@ -74,7 +74,7 @@
 }
 
 // An error of reading is no torn record: what is behind it may well be whole.
-func TestReaderTellsReadErrors(t *testing.T) {
+func TestReaderReturnsReadErrors(t *testing.T) {
 	log := Append(Append(nil, []byte("a")), []byte("b"))
 	for at := range len(log) {
 		broken := errors.New("broken disk")
