--- a/cmd/cometrack/main.go
+++ b/cmd/cometrack/main.go
@@ -38,24 +38,24 @@
 }
 
 const (
-	readPause = 100 * time.Millisecond // before a configuration that could not be read is read again
-	readTries = 10
+	configRetryDelay = 100 * time.Millisecond // before a configuration that could not be read is read again
+	maxConfigReads   = 10
 )
 
 func run(log *slog.Logger) error {
-	hup := make(chan os.Signal, 1) // one that is not read yet stands for all that came since
-	signal.Notify(hup, syscall.SIGHUP)
+	hangups := make(chan os.Signal, 1) // one that is not read yet stands for all that came since
+	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	cfg, err := node.LoadConfig()
 	if err != nil {
 		return err
 	}
-	if c := cfg.Limits.Cores; c > 0 {
-		runtime.GOMAXPROCS(max(int(math.Ceil(c)), 1))
+	if cores := cfg.Limits.Cores; cores > 0 {
+		runtime.GOMAXPROCS(max(int(math.Ceil(cores)), 1))
 	}
-	if m := cfg.Limits.MemoryMB; m > 0 {
-		debug.SetMemoryLimit(int64(m * 0.7 * (1 << 20)))
+	if memory := cfg.Limits.MemoryMB; memory > 0 {
+		debug.SetMemoryLimit(int64(memory * 0.7 * (1 << 20)))
 	}
 	n, err := node.New(cfg, log)
 	if err != nil {
@@ -63,34 +63,34 @@
 	}
 	done := make(chan struct{})
 	var wg sync.WaitGroup
-	wg.Go(func() { follow(n, log, hup, done) })
+	wg.Go(func() { followDiscoveryAddress(n, log, hangups, done) })
 	err = n.Run(ctx)
 	close(done)
 	wg.Wait()
 	return err
 }
 
-// follow takes discovery's address anew at each SIGHUP, until done is closed.
-func follow(n *node.Node, log *slog.Logger, hup <-chan os.Signal, done <-chan struct{}) {
+// followDiscoveryAddress takes discovery's address anew at each SIGHUP, until done is closed.
+func followDiscoveryAddress(n *node.Node, log *slog.Logger, hangups <-chan os.Signal, done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
 			return
-		case <-hup:
+		case <-hangups:
 		}
-		addr, err := node.LoadDiscoveryAddr()
-		for i := 1; err != nil && i < readTries; i++ { // the file may be half written
+		address, err := node.LoadDiscoveryAddr()
+		for reads := 1; err != nil && reads < maxConfigReads; reads++ { // the file may be half written
 			select {
 			case <-done:
 				return
-			case <-time.After(readPause):
+			case <-time.After(configRetryDelay):
 			}
-			addr, err = node.LoadDiscoveryAddr()
+			address, err = node.LoadDiscoveryAddr()
 		}
 		if err != nil {
 			log.Error("configuration not taken", "err", err)
 			continue
 		}
-		n.MoveDiscovery(addr)
+		n.MoveDiscovery(address)
 	}
 }
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -20,87 +20,87 @@
 	}
 }
 
-// inbox holds the events of one instance in the frame at hand.
-type inbox struct {
-	who    int
-	sender *logic.Sender
-	events []logic.Event
+// instanceEvents holds the events of one instance in the frame at hand.
+type instanceEvents struct {
+	instance int
+	sender   *logic.Sender
+	events   []logic.Event
 }
 
 // run answers frames until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	dec, w := wire.NewDecoder(in), bufio.NewWriterSize(out, 1<<16)
+	decoder, writer := wire.NewDecoder(in), bufio.NewWriterSize(out, 1<<16)
 	senders := map[int]*logic.Sender{}
 	for {
-		f, err := dec.Next()
+		frame, err := decoder.Next()
 		if err == io.EOF {
 			return nil
 		} else if err != nil {
 			return err
 		}
-		boxes, err := deal(f, senders)
+		groups, err := groupByInstance(frame, senders)
 		if err != nil {
 			return err
 		}
-		var b []byte
-		for _, box := range boxes {
-			for _, a := range box.sender.Step(f.Clock, box.events) {
-				b = wire.AppendAction(b, box.who, a)
+		var reply []byte
+		for _, group := range groups {
+			for _, action := range group.sender.Step(frame.Clock, group.events) {
+				reply = wire.AppendAction(reply, group.instance, action)
 			}
 		}
-		b = append(b, "eor "+f.Seq+"\n"...)
-		if _, err := w.Write(b); err != nil {
+		reply = append(reply, "eor "+frame.Seq+"\n"...)
+		if _, err := writer.Write(reply); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
-// deal starts and stops instances as the frame says and sorts its events by
+// groupByInstance starts and stops instances as the frame says and sorts its events by
 // instance, in the order in which instances first appear.
-func deal(f *wire.Frame, senders map[int]*logic.Sender) ([]*inbox, error) {
-	var boxes []*inbox
-	at := map[int]*inbox{}
-	for _, it := range f.Items {
+func groupByInstance(frame *wire.Frame, senders map[int]*logic.Sender) ([]*instanceEvents, error) {
+	var groups []*instanceEvents
+	byInstance := map[int]*instanceEvents{}
+	for _, item := range frame.Items {
 		switch {
-		case it.Create != nil:
-			s, err := logic.New(it.Create.Settings, it.Create.Seed)
+		case item.Create != nil:
+			sender, err := logic.New(item.Create.Settings, item.Create.Seed)
 			if err != nil {
-				return nil, fmt.Errorf("instance %d: %w", it.Who, err)
+				return nil, fmt.Errorf("instance %d: %w", item.Instance, err)
 			}
-			senders[it.Who] = s
-			box := at[it.Who]
-			if box == nil {
-				box = &inbox{who: it.Who}
-				at[it.Who] = box
-				boxes = append(boxes, box)
+			senders[item.Instance] = sender
+			group := byInstance[item.Instance]
+			if group == nil {
+				group = &instanceEvents{instance: item.Instance}
+				byInstance[item.Instance] = group
+				groups = append(groups, group)
 			}
-			box.sender, box.events = s, nil
-		case it.Halt:
-			delete(senders, it.Who)
-			if box := at[it.Who]; box != nil {
-				box.sender = nil
+			group.sender, group.events = sender, nil
+		case item.Halt:
+			delete(senders, item.Instance)
+			if group := byInstance[item.Instance]; group != nil {
+				group.sender = nil
 			}
-		case senders[it.Who] == nil:
+		case senders[item.Instance] == nil:
 			// An event for an instance that is not up: nobody is there to hear it.
 		default:
-			box := at[it.Who]
-			if box == nil {
-				box = &inbox{who: it.Who, sender: senders[it.Who]}
-				at[it.Who] = box
-				boxes = append(boxes, box)
+			group := byInstance[item.Instance]
+			if group == nil {
+				group = &instanceEvents{instance: item.Instance, sender: senders[item.Instance]}
+				byInstance[item.Instance] = group
+				groups = append(groups, group)
 			}
-			if it.Event != nil {
-				box.events = append(box.events, it.Event)
+			if item.Event != nil {
+				group.events = append(group.events, item.Event)
 			}
 		}
 	}
-	live := boxes[:0]
-	for _, box := range boxes {
-		if box.sender != nil {
-			live = append(live, box)
+	live := groups[:0]
+	for _, group := range groups {
+		if group.sender != nil {
+			live = append(live, group)
 		}
 	}
 	return live, nil
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -24,14 +24,14 @@
 	dir := flag.String("dir", "logs/soak", "for folders and logs")
 	verbose := flag.Bool("v", false, "print each fault")
 	flag.Parse()
-	broken := 0
-	for s := *seed; s < *seed+uint64(*count); s++ {
+	violations := 0
+	for number := *seed; number < *seed+uint64(*count); number++ {
 		log := func(string, ...any) {}
 		if *verbose {
 			log = func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
 		}
-		report, err := soak.Run(context.Background(), soak.Config{Seed: s, Program: *program, Senders: min(max(*senders, 1), 40),
-			Named: *named, Span: *span, Pushed: !*onRequest, Dir: filepath.Join(*dir, fmt.Sprint(s)), Log: log})
+		report, err := soak.Run(context.Background(), soak.Config{Seed: number, Program: *program, Senders: min(max(*senders, 1), 40),
+			ConfiguredSenders: *named, FaultPeriod: *span, Pushed: !*onRequest, Dir: filepath.Join(*dir, fmt.Sprint(number)), Log: log})
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "soak:", err)
 			os.Exit(1)
@@ -40,9 +40,9 @@
 		for _, v := range report.Violations {
 			fmt.Println("  ", v)
 		}
-		broken += len(report.Violations)
+		violations += len(report.Violations)
 	}
-	if broken > 0 {
+	if violations > 0 {
 		os.Exit(1)
 	}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -131,8 +131,8 @@
 	}
 	cfg := &Config{Name: in.Name, ListenAddr: in.Listen, DiscoveryAddr: in.Discovery, OperatorAddr: in.Operator, Limits: in.Limits,
 		Deployment: deploy, ClassIndexes: map[string]int{}, TenantIndexes: map[string]int{}}
-	if deploy.Unread != nil {
-		cfg.Warnings = append(cfg.Warnings, fmt.Sprintf("settings: %v; taken for missing", deploy.Unread))
+	if deploy.InvalidValues != nil {
+		cfg.Warnings = append(cfg.Warnings, fmt.Sprintf("settings: %v; taken for missing", deploy.InvalidValues))
 	}
 	cfg.Warnings = append(cfg.Warnings, cfg.Deployment.Settings.ReplaceInvalid()...)
 	if t := &cfg.Deployment.ConnectTimeout; *t <= 0 || *t > logic.Micros(time.Minute.Microseconds()) {
--- a/internal/scale/discovery_test.go
+++ b/internal/scale/discovery_test.go
@@ -97,7 +97,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		deploy, err := wire.ParseDeployment([]byte(listSettings(senders)))
 		if err == nil {
-			err = deploy.Unread
+			err = deploy.InvalidValues
 		}
 		if err != nil {
 			t.Fatal(err)
--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -12,7 +12,7 @@
 type Change struct {
 	Endpoint  string
 	Lifecycle string
-	Known     time.Time // when the agent had it
+	KnownAt   time.Time // when the agent had it
 }
 
 // Notice is the end of a message as the platform heard of it.
@@ -25,24 +25,24 @@
 // agent is discovery's agent on a sender's machine: it has the list, and takes notices. While discovery is down it is
 // silent and learns nothing.
 type agent struct {
-	mu      sync.Mutex
-	disc    *standin.Discovery
-	ln      net.Listener
-	rows    []standin.Row // as the agent knows them
-	changes []Change
-	notices []Notice
-	losses  []time.Time // when all open watches fell silent
-	moves   []time.Time // when the sender was told of another address
-	faults  []faultSpan
-	down    bool
-	waiting []standin.Row // what it will learn once discovery is back
+	mu             sync.Mutex
+	discovery      *standin.Discovery
+	listener       net.Listener
+	rows           []standin.Row // as the agent knows them
+	changes        []Change
+	notices        []Notice
+	watchLosses    []time.Time // when all open watches fell silent
+	addressChanges []time.Time // when the sender was told of another address
+	faults         []discoveryFault
+	unreachable    bool
+	pendingRows    []standin.Row // what it will learn once discovery is back
 }
 
-// faultSpan is a time in which calls for the list went wrong.
-type faultSpan struct {
-	trouble standin.Trouble
-	from    time.Time
-	to      time.Time // zero while it lasts
+// discoveryFault is a time in which calls for the list went wrong.
+type discoveryFault struct {
+	kind      standin.Trouble
+	startedAt time.Time
+	endedAt   time.Time // zero while it lasts
 }
 
 func startAgent(rows []standin.Row) (*agent, error) {
@@ -52,34 +52,34 @@
 
 // open serves the list as the agent knows it on a new address, from some generation on.
 func (a *agent) open(generation int64) error {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	a.ln = ln
-	a.disc = standin.New(standin.Config{Rows: append([]standin.Row(nil), a.rows...), Generation: generation, Noticed: a.noticed})
-	go a.disc.Serve(ln, "sender")
+	a.listener = listener
+	a.discovery = standin.New(standin.Config{Rows: append([]standin.Row(nil), a.rows...), Generation: generation, Noticed: a.recordNotice})
+	go a.discovery.Serve(listener, "sender")
 	return nil
 }
 
-func (a *agent) addr() string {
+func (a *agent) address() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.ln.Addr().String()
+	return a.listener.Addr().String()
 }
 
-func (a *agent) noticed(id, state string) {
+func (a *agent) recordNotice(id, state string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.notices = append(a.notices, Notice{id, state, time.Now()})
 }
 
-// learn has the agent know a change, at once or when discovery is back.
-func (a *agent) learn(row standin.Row) {
+// update has the agent know a change, at once or when discovery is back.
+func (a *agent) update(row standin.Row) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.down {
-		a.waiting = append(a.waiting, row)
+	if a.unreachable {
+		a.pendingRows = append(a.pendingRows, row)
 		return
 	}
 	a.apply(row)
@@ -97,56 +97,56 @@
 		a.rows = append(a.rows, row)
 	}
 	a.changes = append(a.changes, Change{row.ID, row.Lifecycle, time.Now()})
-	a.disc.Set(row)
+	a.discovery.Set(row)
 }
 
-// spoil has calls for the list go wrong from now on, until heal.
-func (a *agent) spoil(t standin.Trouble) {
+// beginFault has calls for the list go wrong from now on, until heal.
+func (a *agent) beginFault(kind standin.Trouble) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.faults = append(a.faults, faultSpan{trouble: t, from: time.Now()})
-	if t == standin.Silent {
-		a.down = true
+	a.faults = append(a.faults, discoveryFault{kind: kind, startedAt: time.Now()})
+	if kind == standin.Silent {
+		a.unreachable = true
 	}
-	a.disc.Now(t, 0)
+	a.discovery.Now(kind, 0)
 }
 
-// heal ends what spoil began.
-func (a *agent) heal() {
+// endFaults ends what spoil began.
+func (a *agent) endFaults() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for i := range a.faults {
-		if a.faults[i].to.IsZero() {
-			a.faults[i].to = time.Now()
+		if a.faults[i].endedAt.IsZero() {
+			a.faults[i].endedAt = time.Now()
 		}
 	}
-	a.disc.Now(standin.Healthy, 0)
-	a.down = false
-	for _, row := range a.waiting {
+	a.discovery.Now(standin.Healthy, 0)
+	a.unreachable = false
+	for _, row := range a.pendingRows {
 		a.apply(row)
 	}
-	a.waiting = nil
+	a.pendingRows = nil
 }
 
-// loseWatches lets all open watches fall silent.
-func (a *agent) loseWatches() {
+// stallWatches lets all open watches fall silent.
+func (a *agent) stallWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.losses = append(a.losses, time.Now())
-	a.disc.Lose()
+	a.watchLosses = append(a.watchLosses, time.Now())
+	a.discovery.Lose()
 }
 
-// move opens another address with generations of its own; the old one takes no new connections and closes its open ones
+// moveAddress opens another address with generations of its own; the old one takes no new connections and closes its open ones
 // after a while.
-func (a *agent) move(generation int64, linger time.Duration) error {
+func (a *agent) moveAddress(generation int64, linger time.Duration) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	old, ln := a.disc, a.ln
+	old, listener := a.discovery, a.listener
 	if err := a.open(generation); err != nil {
 		return err
 	}
-	a.moves = append(a.moves, time.Now())
-	ln.Close()
+	a.addressChanges = append(a.addressChanges, time.Now())
+	listener.Close()
 	time.AfterFunc(linger, old.Close)
 	return nil
 }
@@ -154,6 +154,6 @@
 func (a *agent) close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ln.Close()
-	a.disc.Close()
+	a.listener.Close()
+	a.discovery.Close()
 }
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -15,41 +15,41 @@
 
 // Report is what the judge found in a run.
 type Report struct {
-	Seed       uint64
-	Requests   int
-	Accepted   int
-	Delivered  int
-	Calls      int
-	GaveUp     int      // clients that had no answer in time
-	Forwarded  int      // of those, messages that were sent all the same
-	Crossed    int      // requests that were not answered since their connections were reset
-	Late       int      // messages that ended, but later than they had to
-	Unknowable int      // calls to what drained while no process lived, whose agent then was silent until after the call
-	Violations []string // a line each
+	Seed            uint64
+	Requests        int
+	Accepted        int
+	Delivered       int
+	Calls           int
+	ClientTimeouts  int      // clients that had no answer in time
+	TimedOutSent    int      // of those, messages that were sent all the same
+	CrossedClose    int      // requests that were not answered since their connections were reset
+	LateEnds        int      // messages that ended, but later than they had to
+	UninformedCalls int      // calls to what drained while no process lived, whose agent then was silent until after the call
+	Violations      []string // a line each
 }
 
 func (r *Report) String() string {
 	return fmt.Sprintf("seed %d: %d requests, %d accepted, %d delivered, %d calls, %d clients gave up (%d of their messages sent), "+
 		"%d requests crossed a close, %d late ends, %d calls that could not know better, %d violations", r.Seed, r.Requests, r.Accepted,
-		r.Delivered, r.Calls, r.GaveUp, r.Forwarded, r.Crossed, r.Late, r.Unknowable, len(r.Violations))
+		r.Delivered, r.Calls, r.ClientTimeouts, r.TimedOutSent, r.CrossedClose, r.LateEnds, r.UninformedCalls, len(r.Violations))
 }
 
-func (r *Report) violate(rule, format string, args ...any) {
+func (r *Report) addViolation(rule, format string, args ...any) {
 	r.Violations = append(r.Violations, rule+": "+fmt.Sprintf(format, args...))
 }
 
 // What the protocol allows beyond each limit, and what this machine may add to that.
 const (
-	limitSlack   = 50 * time.Millisecond
-	machineSlack = 150 * time.Millisecond
-	endSlack     = 300 * time.Millisecond  // for the end of a message after its time
-	restartSlack = 1500 * time.Millisecond // for an end after the next start is ready
-	lostAfter    = 500 * time.Millisecond  // an end that comes later is none
-	watchSlack   = 400 * time.Millisecond  // for an agent that is back to be heard
-	waitSlack    = 100 * time.Millisecond  // calls that cross the answer with a wait
-	watchTold    = 6 * time.Second         // after a watch fell silent, or discovery had a change and could be reached
-	moveTold     = 4 * time.Second         // after SIGHUP
-	longPoll     = 13 * time.Second        // the longest wait of a watch, where lists come on request
+	limitSlack          = 50 * time.Millisecond
+	machineSlack        = 150 * time.Millisecond
+	endSlack            = 300 * time.Millisecond  // for the end of a message after its time
+	restartSlack        = 1500 * time.Millisecond // for an end after the next start is ready
+	lostAfter           = 500 * time.Millisecond  // an end that comes later is none
+	watchReconnectSlack = 400 * time.Millisecond  // for an agent that is back to be heard
+	retryAfterSlack     = 100 * time.Millisecond  // calls that cross the answer with a wait
+	watchUpdateLimit    = 6 * time.Second         // after a watch fell silent, or discovery had a change and could be reached
+	moveUpdateLimit     = 4 * time.Second         // after SIGHUP
+	maxLongPoll         = 13 * time.Second        // the longest wait of a watch, where lists come on request
 )
 
 // message is all that is known of one message.
@@ -59,81 +59,81 @@
 	notices []Notice
 }
 
-// judge reads the records of a run.
-func (w *World) judge(failures []string) *Report {
-	r := &Report{Seed: w.cfg.Seed}
+// check reads the records of a run.
+func (h *Harness) check(failures []string) *Report {
+	report := &Report{Seed: h.cfg.Seed}
 	for _, f := range failures {
-		r.violate("start", "%s", f)
+		report.addViolation("start", "%s", f)
 	}
-	messages := w.collect(r)
-	for i, s := range w.senders {
-		w.judgeLives(r, s)
-		w.judgeWaits(r, i, messages)
+	messages := h.groupRecords(report)
+	for i, sender := range h.senders {
+		h.checkProcesses(report, sender)
+		h.checkRetryAfter(report, i, messages)
 	}
 	for _, m := range messages {
-		w.judgeDrain(r, m)
-		judgeCalls(r, m)
-		judgeRepeats(r, m)
-		w.judgeAnswer(r, m)
-		w.judgeEnd(r, m)
-	}
-	slices.Sort(r.Violations)
-	return r
+		h.checkDrain(report, m)
+		checkDestinationAndBody(report, m)
+		checkAttempts(report, m)
+		h.checkAnswer(report, m)
+		h.checkEnd(report, m)
+	}
+	slices.Sort(report.Violations)
+	return report
 }
 
-// collect puts the records together by message.
-func (w *World) collect(r *Report) map[string]*message {
+// groupRecords puts the records together by message.
+func (h *Harness) groupRecords(report *Report) map[string]*message {
 	messages := map[string]*message{}
-	w.requests.mu.Lock()
-	for _, q := range w.requests.list {
-		messages[q.ID] = &message{Request: q}
-		r.Requests++
-		if q.Accepted() {
-			r.Accepted++
+	h.requests.mu.Lock()
+	for _, request := range h.requests.all {
+		messages[request.ID] = &message{Request: request}
+		report.Requests++
+		if request.Accepted() {
+			report.Accepted++
 		}
-		if q.GaveUp {
-			r.GaveUp++
+		if request.TimedOut {
+			report.ClientTimeouts++
 		}
 	}
-	w.requests.mu.Unlock()
-	for _, e := range w.allEndpoints() {
-		for _, c := range e.records() {
-			r.Calls++
+	h.requests.mu.Unlock()
+	for _, e := range h.allEndpoints() {
+		for _, c := range e.recordedCalls() {
+			report.Calls++
 			if m := messages[c.ID]; m != nil {
 				m.calls = append(m.calls, c)
 			} else if !strings.HasPrefix(c.ID, "m") {
-				r.violate("unknown", "%s got message %q, which no client handed in", c.Endpoint, c.ID)
+				report.addViolation("unknown", "%s got message %q, which no client handed in", c.Endpoint, c.ID)
 			}
 		}
 	}
-	for _, s := range w.senders {
-		s.agent.mu.Lock()
-		for _, n := range s.agent.notices {
+	for _, sender := range h.senders {
+		sender.agent.mu.Lock()
+		for _, n := range sender.agent.notices {
 			if m := messages[n.ID]; m != nil {
 				m.notices = append(m.notices, n)
 			}
 		}
-		s.agent.mu.Unlock()
+		sender.agent.mu.Unlock()
 	}
 	for _, m := range messages {
-		slices.SortFunc(m.calls, func(a, b Call) int { return a.Whole.Compare(b.Whole) })
+		slices.SortFunc(m.calls, func(a, b Call) int { return a.LastByteAt.Compare(b.LastByteAt) })
 	}
 	return messages
 }
 
-// judgeLives looks at how a sender's processes ended, and at what they said themselves.
-func (w *World) judgeLives(r *Report, s *process) {
-	for _, l := range s.history() {
-		for _, line := range l.Bad {
-			r.violate("guard", "%s: %s", s.name, line)
+// checkProcesses looks at how a sender's processes ended, and at what they said themselves.
+func (h *Harness) checkProcesses(report *Report, sender *managedSender) {
+	for _, run := range sender.history() {
+		for _, line := range run.BadLines {
+			report.addViolation("guard", "%s: %s", sender.name, line)
 		}
 		switch {
-		case l.Ended.IsZero():
-			r.violate("crash", "%s never ended", s.name)
-		case l.Term.IsZero() && l.Killed.IsZero():
-			r.violate("crash", "%s ended by itself: %v", s.name, l.Err)
-		case l.Err != nil && l.Killed.IsZero() && !(l.Ready.IsZero() && endedBySignal(l.Err)):
-			r.violate("crash", "%s: %v", s.name, l.Err)
+		case run.EndedAt.IsZero():
+			report.addViolation("crash", "%s never ended", sender.name)
+		case run.TerminatedAt.IsZero() && run.KilledAt.IsZero():
+			report.addViolation("crash", "%s ended by itself: %v", sender.name, run.Err)
+		case run.Err != nil && run.KilledAt.IsZero() && !(run.ReadyAt.IsZero() && endedBySignal(run.Err)):
+			report.addViolation("crash", "%s: %v", sender.name, run.Err)
 		}
 	}
 }
@@ -148,38 +148,38 @@
 	return ok && status.Signaled() && status.Signal() == syscall.SIGTERM
 }
 
-// told is when a change counts as told to a sender.
-func (w *World) told(sender int, c Change) time.Time {
-	a := w.senders[sender].agent
-	told := c.Known
-	if !w.cfg.Pushed {
-		told = told.Add(watchTold)
-	}
-	silence := watchTold
-	if !w.cfg.Pushed { // 2 s after the wait of a long poll is over, which may have begun just then
-		silence = longPoll + 2*time.Second
-	}
-	for _, lost := range a.losses {
-		if told.After(lost) && c.Known.Before(lost.Add(silence)) {
-			told = latest(told, lost.Add(silence))
+// senderKnowsAt is when a change counts as told to a sender.
+func (h *Harness) senderKnowsAt(sender int, c Change) time.Time {
+	a := h.senders[sender].agent
+	knownAt := c.KnownAt
+	if !h.cfg.Pushed {
+		knownAt = knownAt.Add(watchUpdateLimit)
+	}
+	detection := watchUpdateLimit
+	if !h.cfg.Pushed { // 2 s after the wait of a long poll is over, which may have begun just then
+		detection = maxLongPoll + 2*time.Second
+	}
+	for _, lostAt := range a.watchLosses {
+		if knownAt.After(lostAt) && c.KnownAt.Before(lostAt.Add(detection)) {
+			knownAt = latest(knownAt, lostAt.Add(detection))
 		}
 	}
-	for _, f := range a.faults {
-		unreachable := f.trouble == standin.Refuse || !w.cfg.Pushed
-		if unreachable && told.After(f.from) && c.Known.Before(f.to.Add(silence)) {
-			until := f.to
-			if !w.cfg.Pushed { // a watch that began in a silence has its wait before it
-				until = until.Add(silence)
+	for _, fault := range a.faults {
+		unreachable := fault.kind == standin.Refuse || !h.cfg.Pushed
+		if unreachable && knownAt.After(fault.startedAt) && c.KnownAt.Before(fault.endedAt.Add(detection)) {
+			until := fault.endedAt
+			if !h.cfg.Pushed { // a watch that began in a silence has its wait before it
+				until = until.Add(detection)
 			}
-			told = latest(told, until)
+			knownAt = latest(knownAt, until)
 		}
 	}
-	for _, m := range a.moves {
-		if told.After(m) && c.Known.Before(m.Add(moveTold)) {
-			told = latest(told, m.Add(moveTold))
+	for _, movedAt := range a.addressChanges {
+		if knownAt.After(movedAt) && c.KnownAt.Before(movedAt.Add(moveUpdateLimit)) {
+			knownAt = latest(knownAt, movedAt.Add(moveUpdateLimit))
 		}
 	}
-	return told
+	return knownAt
 }
 
 func latest(a, b time.Time) time.Time {
@@ -189,202 +189,202 @@
 	return b
 }
 
-// judgeDrain looks for calls to what drains or is gone, past the grace.
-func (w *World) judgeDrain(r *Report, m *message) {
+// checkDrain looks for calls to what drains or is gone, past the grace.
+func (h *Harness) checkDrain(report *Report, m *message) {
 	for _, c := range m.calls {
-		for _, change := range w.senders[m.Sender].agent.changes {
+		for _, change := range h.senders[m.Sender].agent.changes {
 			if change.Endpoint != c.Endpoint || change.Lifecycle == "up" {
 				continue
 			}
-			told := w.told(m.Sender, change)
-			late := c.First.Sub(told.Add(w.grace))
+			knownAt := h.senderKnowsAt(m.Sender, change)
+			late := c.FirstByteAt.Sub(knownAt.Add(h.drainGrace))
 			switch {
 			case late <= limitSlack+machineSlack:
-			case w.couldNotKnow(m.Sender, change, c.First):
-				r.Unknowable++
+			case h.couldNotKnow(m.Sender, change, c.FirstByteAt):
+				report.UninformedCalls++
 			default:
-				r.violate("drain", "n%d sent %s to %s %v past the grace of %v (%s, told at %s)", m.Sender, c.ID, c.Endpoint, late,
-					w.grace, change.Lifecycle, told.Format(clock))
+				report.addViolation("drain", "n%d sent %s to %s %v past the grace of %v (%s, told at %s)", m.Sender, c.ID, c.Endpoint, late,
+					h.drainGrace, change.Lifecycle, knownAt.Format(clockFormat))
 			}
 			break
 		}
 	}
 }
 
-// judgeCalls looks for calls to another destination than the message's, or with another body.
-func judgeCalls(r *Report, m *message) {
+// checkDestinationAndBody looks for calls to another destination than the message's, or with another body.
+func checkDestinationAndBody(report *Report, m *message) {
 	for _, c := range m.calls {
-		if c.Dest != m.Dest {
-			r.violate("destination", "%s for destination %d was sent to %s of %d", m.ID, m.Dest, c.Endpoint, c.Dest)
+		if c.Destination != m.Destination {
+			report.addViolation("destination", "%s for destination %d was sent to %s of %d", m.ID, m.Destination, c.Endpoint, c.Destination)
 		}
 		if c.Body != m.body() {
-			r.violate("body", "%s was sent to %s with %q", m.ID, c.Endpoint, c.Body)
+			report.addViolation("body", "%s was sent to %s with %q", m.ID, c.Endpoint, c.Body)
 		}
 	}
 }
 
 // couldNotKnow says whether a change came while no process of a sender lived, and its agent was silent from before the next
 // start until after a call. The rule counts the change as told all the same: such calls are reported on their own.
-func (w *World) couldNotKnow(sender int, c Change, call time.Time) bool {
-	s := w.senders[sender]
-	for _, l := range s.history() {
-		if l.Started.Before(c.Known) && (l.Ended.IsZero() || l.Ended.After(c.Known)) {
+func (h *Harness) couldNotKnow(sender int, change Change, calledAt time.Time) bool {
+	process := h.senders[sender]
+	for _, run := range process.history() {
+		if run.StartedAt.Before(change.KnownAt) && (run.EndedAt.IsZero() || run.EndedAt.After(change.KnownAt)) {
 			return false
 		}
 	}
-	start := time.Time{}
-	for _, l := range s.history() {
-		if l.Started.After(c.Known) && (start.IsZero() || l.Started.Before(start)) {
-			start = l.Started
+	nextStart := time.Time{}
+	for _, run := range process.history() {
+		if run.StartedAt.After(change.KnownAt) && (nextStart.IsZero() || run.StartedAt.Before(nextStart)) {
+			nextStart = run.StartedAt
 		}
 	}
-	return slices.ContainsFunc(s.agent.faults, func(f faultSpan) bool {
-		return f.trouble == standin.Silent && f.from.Before(start) && f.to.After(call.Add(-watchSlack))
+	return slices.ContainsFunc(process.agent.faults, func(fault discoveryFault) bool {
+		return fault.kind == standin.Silent && fault.startedAt.Before(nextStart) && fault.endedAt.After(calledAt.Add(-watchReconnectSlack))
 	})
 }
 
-const clock = "15:04:05.000"
+const clockFormat = "15:04:05.000"
 
-// judgeRepeats looks for attempts that overlap, are too many, or repeat what may have run against its class.
-func judgeRepeats(r *Report, m *message) {
+// checkAttempts looks for attempts that overlap, are too many, or repeat what may have run against its class.
+func checkAttempts(report *Report, m *message) {
 	if len(m.calls) > maxAttempts {
-		r.violate("attempts", "%s was sent %d times", m.ID, len(m.calls))
+		report.addViolation("attempts", "%s was sent %d times", m.ID, len(m.calls))
 	}
 	if len(m.calls) > 0 && m.Refused() {
-		r.violate("refused", "%s was answered %q and sent to %s", m.ID, m.Answer, m.calls[0].Endpoint)
+		report.addViolation("refused", "%s was answered %q and sent to %s", m.ID, m.Answer, m.calls[0].Endpoint)
 	}
 	for i, c := range m.calls {
-		due := m.Sent.Add(m.Time)
-		if !m.Answered.IsZero() { // the sender counts from when it reads the request, which is before its answer
-			due = m.Answered.Add(m.Time)
+		due := m.SentAt.Add(m.TimeLimit)
+		if !m.AnsweredAt.IsZero() { // the sender counts from when it reads the request, which is before its answer
+			due = m.AnsweredAt.Add(m.TimeLimit)
 		}
-		if !m.GaveUp && c.First.After(due.Add(limitSlack+machineSlack)) {
-			r.violate("deadline", "%s was sent %v after its time", m.ID, c.First.Sub(due))
+		if !m.TimedOut && c.FirstByteAt.After(due.Add(limitSlack+machineSlack)) {
+			report.addViolation("deadline", "%s was sent %v after its time", m.ID, c.FirstByteAt.Sub(due))
 		}
 		for _, earlier := range m.calls[:i] {
-			if earlier.End.IsZero() || c.Whole.Before(earlier.End.Add(-limitSlack)) {
-				r.violate("overlap", "%s was sent to %s with a call out at %s", m.ID, c.Endpoint, earlier.Endpoint)
+			if earlier.EndedAt.IsZero() || c.LastByteAt.Before(earlier.EndedAt.Add(-limitSlack)) {
+				report.addViolation("overlap", "%s was sent to %s with a call out at %s", m.ID, c.Endpoint, earlier.Endpoint)
 			}
-			late := c.First.Sub(earlier.Whole) - keyedWindow - limitSlack - machineSlack
-			if earlier.MayRun && (m.Class == classUnsafe || m.Class == classKeyed && late > 0) {
-				r.violate("repeat", "%s (%s) may have run at %s and was sent to %s %v later", m.ID, m.Class, earlier.Endpoint,
-					c.Endpoint, c.First.Sub(earlier.Whole))
+			late := c.FirstByteAt.Sub(earlier.LastByteAt) - keyedWindow - limitSlack - machineSlack
+			if earlier.MayHaveRun && (m.Class == classUnsafe || m.Class == classKeyed && late > 0) {
+				report.addViolation("repeat", "%s (%s) may have run at %s and was sent to %s %v later", m.ID, m.Class, earlier.Endpoint,
+					c.Endpoint, c.FirstByteAt.Sub(earlier.LastByteAt))
 			}
 		}
 	}
 }
 
-// judgeWaits looks for calls to a destination that asked this sender to wait. A restart ends a wait.
-func (w *World) judgeWaits(r *Report, sender int, messages map[string]*message) {
+// checkRetryAfter looks for calls to a destination that asked this sender to wait. A restart ends a wait.
+func (h *Harness) checkRetryAfter(report *Report, sender int, messages map[string]*message) {
 	var calls []Call
 	for _, m := range messages {
 		if m.Sender == sender {
 			calls = append(calls, m.calls...)
 		}
 	}
-	slices.SortFunc(calls, func(a, b Call) int { return a.First.Compare(b.First) })
-	lives := w.senders[sender].history()
+	slices.SortFunc(calls, func(a, b Call) int { return a.FirstByteAt.Compare(b.FirstByteAt) })
+	runs := h.senders[sender].history()
 	for _, c := range calls {
-		if c.Wait == 0 || c.End.IsZero() {
+		if c.RetryAfter == 0 || c.EndedAt.IsZero() {
 			continue
 		}
-		from, to := c.End.Add(waitSlack+machineSlack), c.End.Add(c.Wait-limitSlack)
+		from, to := c.EndedAt.Add(retryAfterSlack+machineSlack), c.EndedAt.Add(c.RetryAfter-limitSlack)
 		for _, other := range calls {
-			if other.Dest == c.Dest && other.First.After(from) && other.First.Before(to) && sameLife(lives, c.End, other.First) {
-				r.violate("wait", "n%d was told by %s to wait %v and sent %s to %s %v later", sender, c.Endpoint, c.Wait, other.ID,
-					other.Endpoint, other.First.Sub(c.End))
+			if other.Destination == c.Destination && other.FirstByteAt.After(from) && other.FirstByteAt.Before(to) && sameProcess(runs, c.EndedAt, other.FirstByteAt) {
+				report.addViolation("wait", "n%d was told by %s to wait %v and sent %s to %s %v later", sender, c.Endpoint, c.RetryAfter, other.ID,
+					other.Endpoint, other.FirstByteAt.Sub(c.EndedAt))
 			}
 		}
 	}
 }
 
-// sameLife says whether one process lived at both times.
-func sameLife(lives []Life, a, b time.Time) bool {
-	for _, l := range lives {
-		if l.Started.Before(a) && (l.Ended.IsZero() || l.Ended.After(b)) {
+// sameProcess says whether one process lived at both times.
+func sameProcess(runs []processRun, a, b time.Time) bool {
+	for _, run := range runs {
+		if run.StartedAt.Before(a) && (run.EndedAt.IsZero() || run.EndedAt.After(b)) {
 			return true
 		}
 	}
 	return false
 }
 
-// answerForms are the answers that the protocol has for a request in good form.
-var answerForms = regexp.MustCompile(`^(\+OK|-BUSY( [0-9]+)?|-ERR failed)\r\n$`)
+// validAnswers are the answers that the protocol has for a request in good form.
+var validAnswers = regexp.MustCompile(`^(\+OK|-BUSY( [0-9]+)?|-ERR failed)\r\n$`)
 
-// judgeAnswer looks for requests without an answer that their sender had read or taken, and for answers that are none.
-func (w *World) judgeAnswer(r *Report, m *message) {
-	lives := w.senders[m.Sender].history()
+// checkAnswer looks for requests without an answer that their sender had read or taken, and for answers that are none.
+func (h *Harness) checkAnswer(report *Report, m *message) {
+	runs := h.senders[m.Sender].history()
 	switch {
 	case m.Answer != "":
-		if !answerForms.MatchString(m.Answer) {
-			r.violate("answer", "%s was answered %q", m.ID, m.Answer)
+		if !validAnswers.MatchString(m.Answer) {
+			report.addViolation("answer", "%s was answered %q", m.ID, m.Answer)
 		}
-	case m.GaveUp:
+	case m.TimedOut:
 		if len(m.calls) > 0 {
-			r.Forwarded++
+			report.TimedOutSent++
 		}
-	case killedAround(lives, m.Closed): // what it had not answered then is cut off
-	case m.WasRead:
-		r.violate("answer", "%s was read by n%d and its connection closed with no answer at %s", m.ID, m.Sender, m.Closed.Format(clock))
+	case killedNear(runs, m.ClosedAt): // what it had not answered then is cut off
+	case m.ReadBySender:
+		report.addViolation("answer", "%s was read by n%d and its connection closed with no answer at %s", m.ID, m.Sender, m.ClosedAt.Format(clockFormat))
 	case len(m.calls)+len(m.notices) > 0:
-		r.violate("answer", "%s was taken by n%d and its connection closed with no answer at %s", m.ID, m.Sender, m.Closed.Format(clock))
+		report.addViolation("answer", "%s was taken by n%d and its connection closed with no answer at %s", m.ID, m.Sender, m.ClosedAt.Format(clockFormat))
 	default:
-		r.Crossed++
+		report.CrossedClose++
 	}
 }
 
-// judgeAfterEnd looks for calls that come after the notice of their message's end.
-func judgeAfterEnd(r *Report, m *message) {
+// checkAfterNotice looks for calls that come after the notice of their message's end.
+func checkAfterNotice(report *Report, m *message) {
 	for _, n := range m.notices {
 		for _, c := range m.calls {
-			if late := c.First.Sub(n.At); late > limitSlack+machineSlack {
-				r.violate("ended", "%s was sent to %s %v after its notice (%s)", m.ID, c.Endpoint, late, n.State)
+			if late := c.FirstByteAt.Sub(n.At); late > limitSlack+machineSlack {
+				report.addViolation("ended", "%s was sent to %s %v after its notice (%s)", m.ID, c.Endpoint, late, n.State)
 			}
 		}
 	}
 }
 
-// judgeEnd looks for accepted messages without an end, and for ends that contradict each other or the client's answer.
-func (w *World) judgeEnd(r *Report, m *message) {
-	delivered, mayHaveRun := time.Time{}, false
+// checkEnd looks for accepted messages without an end, and for ends that contradict each other or the client's answer.
+func (h *Harness) checkEnd(report *Report, m *message) {
+	deliveredAt, mayHaveRun := time.Time{}, false
 	for _, c := range m.calls {
-		mayHaveRun = mayHaveRun || c.MayRun || c.End.IsZero()
-		if c.Done && delivered.IsZero() {
-			delivered = c.End
+		mayHaveRun = mayHaveRun || c.MayHaveRun || c.EndedAt.IsZero()
+		if c.Succeeded && deliveredAt.IsZero() {
+			deliveredAt = c.EndedAt
 		}
 	}
-	if !delivered.IsZero() {
-		r.Delivered++
+	if !deliveredAt.IsZero() {
+		report.Delivered++
 	}
 	for _, n := range m.notices {
 		if n.State == "returned" && mayHaveRun && m.Class != classSafe {
-			r.violate("returned", "%s (%s) may have run and was returned", m.ID, m.Class)
+			report.addViolation("returned", "%s (%s) may have run and was returned", m.ID, m.Class)
 		}
 	}
-	judgeAfterEnd(r, m)
-	lives := w.senders[m.Sender].history()
+	checkAfterNotice(report, m)
+	runs := h.senders[m.Sender].history()
 	if !m.Accepted() {
 		return
 	}
-	end := delivered
+	endedAt := deliveredAt
 	for _, n := range m.notices {
-		if end.IsZero() || n.At.Before(end) {
-			end = n.At
+		if endedAt.IsZero() || n.At.Before(endedAt) {
+			endedAt = n.At
 		}
 	}
-	due := m.Sent.Add(m.Time + endSlack)
-	for _, l := range lives {
-		if away := earliest(l.Term, l.Killed); !away.IsZero() && away.Before(due) {
-			due = latest(due, nextReady(lives, away).Add(restartSlack))
+	due := m.SentAt.Add(m.TimeLimit + endSlack)
+	for _, run := range runs {
+		if stoppedAt := earliest(run.TerminatedAt, run.KilledAt); !stoppedAt.IsZero() && stoppedAt.Before(due) {
+			due = latest(due, nextReady(runs, stoppedAt).Add(restartSlack))
 		}
 	}
-	switch late := end.Sub(due); {
-	case end.IsZero():
-		r.violate("lost", "%s (%s, n%d, due %s) has no end after %d calls", m.ID, m.Class, m.Sender, due.Format(clock), len(m.calls))
+	switch late := endedAt.Sub(due); {
+	case endedAt.IsZero():
+		report.addViolation("lost", "%s (%s, n%d, due %s) has no end after %d calls", m.ID, m.Class, m.Sender, due.Format(clockFormat), len(m.calls))
 	case late > lostAfter+machineSlack:
-		r.violate("lost", "%s ended %v after it had to", m.ID, late)
+		report.addViolation("lost", "%s ended %v after it had to", m.ID, late)
 	case late > limitSlack+machineSlack:
-		r.Late++
+		report.LateEnds++
 	}
 }
 
@@ -396,20 +396,20 @@
 }
 
 // nextReady is when a process was ready first after a time; that time if none was.
-func nextReady(lives []Life, at time.Time) time.Time {
-	for _, l := range lives {
-		if l.Started.After(at) && !l.Ready.IsZero() {
-			return l.Ready
+func nextReady(runs []processRun, after time.Time) time.Time {
+	for _, run := range runs {
+		if run.StartedAt.After(after) && !run.ReadyAt.IsZero() {
+			return run.ReadyAt
 		}
 	}
-	return at
+	return after
 }
 
-// killedAround says whether a process was killed about a time.
-func killedAround(lives []Life, at time.Time) bool {
-	const about = 500 * time.Millisecond
-	return slices.ContainsFunc(lives, func(l Life) bool {
-		d := at.Sub(l.Killed)
-		return !l.Killed.IsZero() && d > -about && d < about
+// killedNear says whether a process was killed about a time.
+func killedNear(runs []processRun, at time.Time) bool {
+	const margin = 500 * time.Millisecond
+	return slices.ContainsFunc(runs, func(run processRun) bool {
+		distance := at.Sub(run.KilledAt)
+		return !run.KilledAt.IsZero() && distance > -margin && distance < margin
 	})
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -10,10 +10,10 @@
 )
 
 var (
-	seeds   = flag.Int("soak.seeds", 1, "how many seeds each case is played with")
-	first   = flag.Uint64("soak.first", 1, "the first of them")
-	senders = flag.Int("soak.senders", 6, "real processes of each")
-	lasting = flag.Duration("soak.span", 8*time.Second, "for which faults begin")
+	seedCount   = flag.Int("soak.seeds", 1, "how many seeds each case is played with")
+	firstSeed   = flag.Uint64("soak.first", 1, "the first of them")
+	senderCount = flag.Int("soak.senders", 6, "real processes of each")
+	faultPeriod = flag.Duration("soak.span", 8*time.Second, "for which faults begin")
 )
 
 // Real senders under random faults that overlap in time break no rule of the protocol: where an agent has the list and
@@ -28,12 +28,12 @@
 		pushed bool
 		named  int
 	}{{"pushed, few", true, 0}, {"pushed, many", true, 40}, {"on request, many", false, 40}} {
-		for i := range *seeds {
-			seed := *first + uint64(i)
+		for i := range *seedCount {
+			seed := *firstSeed + uint64(i)
 			t.Run(fmt.Sprintf("%s/%d", x.name, seed), func(t *testing.T) {
 				t.Parallel()
-				report, err := Run(t.Context(), Config{Seed: seed, Program: program, Dir: t.TempDir(), Senders: *senders,
-					Named: x.named, Pushed: x.pushed, Span: *lasting, Log: t.Logf})
+				report, err := Run(t.Context(), Config{Seed: seed, Program: program, Dir: t.TempDir(), Senders: *senderCount,
+					ConfiguredSenders: x.named, Pushed: x.pushed, FaultPeriod: *faultPeriod, Log: t.Logf})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -50,20 +50,20 @@
 }
 
 // The judge finds each kind of breach: it is worth what it would find.
-func TestJudgeFindsBreaches(t *testing.T) {
+func TestCheckFindsViolations(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 	request := func(class, answer string) *Request {
-		return &Request{ID: "m0.0-1", Class: class, Sent: at(0), Time: 2 * time.Second, Answer: answer, Answered: at(0.01)}
+		return &Request{ID: "m0.0-1", Class: class, SentAt: at(0), TimeLimit: 2 * time.Second, Answer: answer, AnsweredAt: at(0.01)}
 	}
 	closed := func(wasRead bool) *Request {
 		q := request(classSafe, "")
-		q.Answered, q.Closed, q.WasRead = time.Time{}, at(0.3), wasRead
+		q.AnsweredAt, q.ClosedAt, q.ReadBySender = time.Time{}, at(0.3), wasRead
 		return q
 	}
 	call := func(from, to float64, mayRun, done bool) Call {
-		c := Call{ID: "m0.0-1", Endpoint: "s-1", Body: "body of m0.0-1", First: at(from), Whole: at(from), MayRun: mayRun, Done: done}
+		c := Call{ID: "m0.0-1", Endpoint: "s-1", Body: "body of m0.0-1", FirstByteAt: at(from), LastByteAt: at(from), MayHaveRun: mayRun, Succeeded: done}
 		if to > 0 {
-			c.End = at(to)
+			c.EndedAt = at(to)
 		}
 		return c
 	}
@@ -87,21 +87,21 @@
 		"taken, no answer": {&message{closed(false), []Call{call(0.1, 0.2, true, true)}, nil}, "answer"},
 		"crossed":          {&message{closed(false), nil, nil}, ""},
 		"sent after end":   {&message{request(classSafe, "+OK\r\n"), []Call{call(1, 1.1, true, true)}, []Notice{{"m0.0-1", "returned", at(0.5)}}}, "ended"},
-		"elsewhere":        {&message{request(classSafe, "+OK\r\n"), []Call{{Dest: 1, Body: "body of m0.0-1", First: at(0.1), Whole: at(0.1), End: at(0.2), MayRun: true, Done: true}}, nil}, "destination"},
-		"another body":     {&message{request(classSafe, "+OK\r\n"), []Call{{First: at(0.1), Whole: at(0.1), End: at(0.2), MayRun: true, Done: true}}, nil}, "body"},
-		"drains":           {&message{request(classSafe, "+OK\r\n"), []Call{{ID: "m0.0-1", Endpoint: "s-2", Body: "body of m0.0-1", First: at(1.9), Whole: at(1.9), End: at(1.95), MayRun: true, Done: true}}, nil}, "drain"},
+		"elsewhere":        {&message{request(classSafe, "+OK\r\n"), []Call{{Destination: 1, Body: "body of m0.0-1", FirstByteAt: at(0.1), LastByteAt: at(0.1), EndedAt: at(0.2), MayHaveRun: true, Succeeded: true}}, nil}, "destination"},
+		"another body":     {&message{request(classSafe, "+OK\r\n"), []Call{{FirstByteAt: at(0.1), LastByteAt: at(0.1), EndedAt: at(0.2), MayHaveRun: true, Succeeded: true}}, nil}, "body"},
+		"drains":           {&message{request(classSafe, "+OK\r\n"), []Call{{ID: "m0.0-1", Endpoint: "s-2", Body: "body of m0.0-1", FirstByteAt: at(1.9), LastByteAt: at(1.9), EndedAt: at(1.95), MayHaveRun: true, Succeeded: true}}, nil}, "drain"},
 	} {
-		w := &World{cfg: Config{Pushed: true}, grace: time.Second, senders: []*process{{name: "n0", lives: []*Life{{Started: at(-1), Ready: at(-0.5)}},
+		w := &Harness{cfg: Config{Pushed: true}, drainGrace: time.Second, senders: []*managedSender{{name: "n0", runs: []*processRun{{StartedAt: at(-1), ReadyAt: at(-0.5)}},
 			agent: &agent{changes: []Change{{"s-2", "draining", at(0.5)}}}}}}
 		if x.m.Class == classKeyed {
-			x.m.Time = 6 * time.Second
+			x.m.TimeLimit = 6 * time.Second
 		}
 		r := &Report{}
-		w.judgeDrain(r, x.m)
-		judgeCalls(r, x.m)
-		judgeRepeats(r, x.m)
-		w.judgeAnswer(r, x.m)
-		w.judgeEnd(r, x.m)
+		w.checkDrain(r, x.m)
+		checkDestinationAndBody(r, x.m)
+		checkAttempts(r, x.m)
+		w.checkAnswer(r, x.m)
+		w.checkEnd(r, x.m)
 		found := ""
 		if len(r.Violations) > 0 {
 			found = r.Violations[0][:len(x.want)]
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -15,14 +15,14 @@
 
 // Config says how a run is made.
 type Config struct {
-	Seed    uint64
-	Program string        // path of the sender
-	Dir     string        // for folders, configurations and logs
-	Senders int           // real processes
-	Named   int           // senders that the settings name; 0 for as many as there are
-	Span    time.Duration // of the faults
-	Pushed  bool          // an agent has the list; else it comes on request
-	Log     func(format string, args ...any)
+	Seed              uint64
+	Program           string        // path of the sender
+	Dir               string        // for folders, configurations and logs
+	Senders           int           // real processes
+	ConfiguredSenders int           // senders that the settings name; 0 for as many as there are
+	FaultPeriod       time.Duration // of the faults
+	Pushed            bool          // an agent has the list; else it comes on request
+	Log               func(format string, args ...any)
 }
 
 const (
@@ -30,86 +30,86 @@
 	classKeyed  = "keyed"
 	classUnsafe = "unsafe"
 
-	dests          = 3
-	endpointsEach  = 3
-	clientsEach    = 8
-	maxAttempts    = 6
-	keyedWindow    = 3 * time.Second
-	messageLeast   = 1500 * time.Millisecond
-	messageMost    = 6 * time.Second
-	terminateAfter = 3700 * time.Millisecond // from SIGTERM to SIGKILL at a planned restart
-	restartPause   = 600 * time.Millisecond  // from SIGKILL to the next start
-	moveLinger     = 1500 * time.Millisecond // for which an old address of discovery keeps its connections
-	rejectWait     = 700 * time.Millisecond
+	destinationCount        = 3
+	endpointsPerDestination = 3
+	clientsPerSender        = 8
+	maxAttempts             = 6
+	keyedWindow             = 3 * time.Second
+	minMessageTime          = 1500 * time.Millisecond
+	maxMessageTime          = 6 * time.Second
+	stopTimeout             = 3700 * time.Millisecond // from SIGTERM to SIGKILL at a planned restart
+	restartDelay            = 600 * time.Millisecond  // from SIGKILL to the next start
+	oldAddressLinger        = 1500 * time.Millisecond // for which an old address of discovery keeps its connections
+	rejectRetryAfter        = 700 * time.Millisecond
 )
 
-// clientKind is how one client of each sender behaves.
-type clientKind struct {
-	habit habit
-	pause time.Duration // mean, between two messages
+// clientProfile is how one client of each sender behaves.
+type clientProfile struct {
+	pattern   connectionPattern
+	meanPause time.Duration // mean, between two messages
 }
 
-// clientKinds are the clients of a sender: some rest for long on their connections.
-var clientKinds = [clientsEach]clientKind{{habitPlain, 60 * time.Millisecond}, {habitPlain, 40 * time.Millisecond},
-	{habitPlain, time.Second}, {habitBusy, 8 * time.Millisecond}, {habitRest, 100 * time.Millisecond}, {habitRest, 10 * time.Millisecond},
-	{habitSplit, 50 * time.Millisecond}, {habitHalfEnd, 80 * time.Millisecond}}
+// clientProfiles are the clients of a sender: some rest for long on their connections.
+var clientProfiles = [clientsPerSender]clientProfile{{patternPlain, 60 * time.Millisecond}, {patternPlain, 40 * time.Millisecond},
+	{patternPlain, time.Second}, {patternBusy, 8 * time.Millisecond}, {patternIdle, 100 * time.Millisecond}, {patternIdle, 10 * time.Millisecond},
+	{patternSplitWrites, 50 * time.Millisecond}, {patternHalfClose, 80 * time.Millisecond}}
 
-// load is what a client with a pause hands in.
-func (w *World) load(pause time.Duration) load {
-	return load{[]string{classSafe, classKeyed, classUnsafe}, dests, pause, messageLeast, messageMost}
+// workload is what a client with a pause hands in.
+func (h *Harness) workload(meanPause time.Duration) workload {
+	return workload{[]string{classSafe, classKeyed, classUnsafe}, destinationCount, meanPause, minMessageTime, maxMessageTime}
 }
 
-// World is one run: senders, their agents, endpoints and clients.
-type World struct {
-	cfg       Config
-	rng       *rand.Rand
-	grace     time.Duration
-	senders   []*process
-	requests  requests
-	mu        sync.Mutex
-	endpoints []*endpoint // all that ever were
-	listed    []int       // places in endpoints of those that are up
-	nextID    int
+// Harness is one run: senders, their agents, endpoints and clients.
+type Harness struct {
+	cfg            Config
+	rng            *rand.Rand
+	drainGrace     time.Duration
+	senders        []*managedSender
+	requests       requestLog
+	mu             sync.Mutex
+	endpoints      []*endpoint // all that ever were
+	upIndexes      []int       // places in endpoints of those that are up
+	lastEndpointID int
 }
 
 // Run plays a run and returns what the judge found.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
-	w := &World{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1))}
-	w.grace = time.Duration(w.rng.IntN(3)+1) * 500 * time.Millisecond
-	defer w.close()
-	if err := w.begin(); err != nil {
+	h := &Harness{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1))}
+	h.drainGrace = time.Duration(h.rng.IntN(3)+1) * 500 * time.Millisecond
+	defer h.close()
+	if err := h.start(); err != nil {
 		return nil, err
 	}
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
-	for i, s := range w.senders {
-		for k := range clientsEach {
-			kind := clientKinds[k]
-			c := &client{name: fmt.Sprintf("m%d.%d", i, k), sender: i, addr: s.listen, habit: kind.habit, load: w.load(kind.pause),
-				out: &w.requests, stop: stop, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(1000+i*clientsEach+k)))}
+	for i, sender := range h.senders {
+		for number := range clientsPerSender {
+			profile := clientProfiles[number]
+			c := &client{name: fmt.Sprintf("m%d.%d", i, number), sender: i, address: sender.listenAddress, pattern: profile.pattern, workload: h.workload(profile.meanPause),
+				requests: &h.requests, stop: stop, rng: rand.New(rand.NewPCG(cfg.Seed, uint64(1000+i*clientsPerSender+number)))}
 			clients.Go(c.run)
 		}
 	}
-	failures := w.play(ctx, newPlan(w))
+	failures := h.execute(ctx, newPlan(h))
 	close(stop)
 	clients.Wait()
-	w.settle()
-	w.requests.findRead()
-	return w.judge(failures), nil
+	h.finish()
+	h.requests.markReadRequests()
+	return h.check(failures), nil
 }
 
-func (w *World) begin() error {
+func (h *Harness) start() error {
 	var rows []standin.Row
-	for dest := range dests {
-		for range endpointsEach {
-			row, err := w.addEndpoint(int64(dest))
+	for destination := range destinationCount {
+		for range endpointsPerDestination {
+			row, err := h.addEndpoint(int64(destination))
 			if err != nil {
 				return err
 			}
 			rows = append(rows, row)
 		}
 	}
-	for i := range w.cfg.Senders {
+	for i := range h.cfg.Senders {
 		a, err := startAgent(rows)
 		if err != nil {
 			return err
@@ -119,16 +119,16 @@
 			return err
 		}
 		name := fmt.Sprintf("n%d", i)
-		seed := w.rng.Uint64()
-		p := &process{name: name, program: w.cfg.Program, dir: filepath.Join(w.cfg.Dir, name), listen: listen, agent: a}
-		p.config = func(discovery string) []byte { return w.configText(name, listen, discovery, seed, rows) }
-		w.senders = append(w.senders, p)
+		seed := h.rng.Uint64()
+		sender := &managedSender{name: name, program: h.cfg.Program, dir: filepath.Join(h.cfg.Dir, name), listenAddress: listen, agent: a}
+		sender.makeConfig = func(discovery string) []byte { return h.configJSON(name, listen, discovery, seed, rows) }
+		h.senders = append(h.senders, sender)
 	}
-	errs := make(chan error, len(w.senders))
-	for _, p := range w.senders {
-		go func() { errs <- p.start() }()
+	errs := make(chan error, len(h.senders))
+	for _, sender := range h.senders {
+		go func() { errs <- sender.startAndWait() }()
 	}
-	for range w.senders {
+	for range h.senders {
 		if err := <-errs; err != nil {
 			return err
 		}
@@ -147,60 +147,60 @@
 }
 
 // addEndpoint starts an endpoint and returns its entry.
-func (w *World) addEndpoint(dest int64) (standin.Row, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.nextID++
-	e, err := startEndpoint(fmt.Sprintf("s-%d", w.nextID), dest, rejectWait)
+func (h *Harness) addEndpoint(destination int64) (standin.Row, error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.lastEndpointID++
+	e, err := startEndpoint(fmt.Sprintf("s-%d", h.lastEndpointID), destination, rejectRetryAfter)
 	if err != nil {
 		return standin.Row{}, err
 	}
-	w.listed = append(w.listed, len(w.endpoints))
-	w.endpoints = append(w.endpoints, e)
-	return w.row(e, "up"), nil
+	h.upIndexes = append(h.upIndexes, len(h.endpoints))
+	h.endpoints = append(h.endpoints, e)
+	return h.row(e, "up"), nil
 }
 
-func (w *World) row(e *endpoint, lifecycle string) standin.Row {
-	return standin.Row{ID: e.id, HostPort: e.addr(), Zone: "a", Kind: "std", Dest: e.dest, Lifecycle: lifecycle, Weight: 200}
+func (h *Harness) row(e *endpoint, lifecycle string) standin.Row {
+	return standin.Row{ID: e.id, HostPort: e.address(), Zone: "a", Kind: "std", Dest: e.destination, Lifecycle: lifecycle, Weight: 200}
 }
 
-// tell has every agent learn a change.
-func (w *World) tell(row standin.Row) {
-	for _, s := range w.senders {
-		s.agent.learn(row)
+// announce has every agent learn a change.
+func (h *Harness) announce(row standin.Row) {
+	for _, sender := range h.senders {
+		sender.agent.update(row)
 	}
 }
 
-// configText is a sender's configuration file.
-func (w *World) configText(name, listen, discovery string, seed uint64, rows []standin.Row) []byte {
-	named, mode := w.cfg.Named, "pushed"
-	if named == 0 {
-		named = w.cfg.Senders
+// configJSON is a sender's configuration file.
+func (h *Harness) configJSON(name, listen, discovery string, seed uint64, rows []standin.Row) []byte {
+	senders, mode := h.cfg.ConfiguredSenders, "pushed"
+	if senders == 0 {
+		senders = h.cfg.Senders
 	}
-	if !w.cfg.Pushed {
+	if !h.cfg.Pushed {
 		mode = "on_request"
 	}
-	class := func(name, effect string, window time.Duration) map[string]any {
-		return map[string]any{"name": name, "aim_s": 1, "deadline_s": messageMost.Seconds(), "worth": 1, "late_worth": 0.4,
-			"idempotency": effect, "group": "all", "window_s": window.Seconds()}
+	class := func(name, idempotency string, window time.Duration) map[string]any {
+		return map[string]any{"name": name, "aim_s": 1, "deadline_s": maxMessageTime.Seconds(), "worth": 1, "late_worth": 0.4,
+			"idempotency": idempotency, "group": "all", "window_s": window.Seconds()}
 	}
 	var known []map[string]any
-	for _, r := range rows {
-		known = append(known, map[string]any{"instanceId": r.ID, "hostPort": r.HostPort, "zone": r.Zone, "machineType": r.Kind,
-			"cell": r.Dest, "lifecycle": r.Lifecycle, "weight": r.Weight, "startedAtMs": 0})
+	for _, row := range rows {
+		known = append(known, map[string]any{"instanceId": row.ID, "hostPort": row.HostPort, "zone": row.Zone, "machineType": row.Kind,
+			"cell": row.Dest, "lifecycle": row.Lifecycle, "weight": row.Weight, "startedAtMs": 0})
 	}
 	text, err := json.Marshal(map[string]any{"name": name, "listen": listen, "discovery": discovery,
 		"seed":   fmt.Sprintf("%x", seed),
 		"limits": map[string]any{"cores": 1, "memory_mb": 128, "sockets": 256, "disk_mb": 3},
 		"known":  map[string]any{"generation": 1, "reset": true, "instances": known},
-		"settings": map[string]any{"balancers": named, "me": 0, "zone": 0, "zones": []string{"a"}, "tick_s": 0.005,
+		"settings": map[string]any{"balancers": senders, "me": 0, "zone": 0, "zones": []string{"a"}, "tick_s": 0.005,
 			"membership_mode": mode, "weights": "nominal", "over_share_worth": 0.2, "machine_types": []string{"std"},
 			"classes": []any{class(classSafe, "retryable", keyedWindow), class(classKeyed, "dedup", keyedWindow),
 				class(classUnsafe, "fragile", keyedWindow)},
 			"limits": map[string]any{"conn_idle_s": 5, "connect_timeout_s": 1, "max_attempts": maxAttempts, "max_open": 200,
 				"max_retry_after_s": 2, "multiplex": 1, "may_cancel": true, "retry_after": true},
 			"load_info": map[string]any{"how": "off", "names": []string{}},
-			"rules": map[string]any{"cold_from": 0.2, "drain_grace_s": w.grace.Seconds(), "fall_multiple": 2, "fall_s": 2,
+			"rules": map[string]any{"cold_from": 0.2, "drain_grace_s": h.drainGrace.Seconds(), "fall_multiple": 2, "fall_s": 2,
 				"warm_after_s": 5},
 			"specifics": map[string]any{"batch_by_kind": []int{1}, "call_slots": 18, "late": "halves",
 				"separate_routes": []bool{false}}}})
@@ -210,36 +210,36 @@
 	return text
 }
 
-// settle ends all faults, lets what is owed end, and stops the senders.
-func (w *World) settle() {
-	for _, e := range w.allEndpoints() {
-		e.set(Healthy)
+// finish ends all faults, lets what is owed end, and stops the senders.
+func (h *Harness) finish() {
+	for _, e := range h.allEndpoints() {
+		e.setBehaviour(Healthy)
 	}
-	for _, s := range w.senders {
-		s.agent.heal()
+	for _, sender := range h.senders {
+		sender.agent.endFaults()
 	}
-	time.Sleep(messageMost + endSlack)
+	time.Sleep(maxMessageTime + endSlack)
 	var stopped sync.WaitGroup
-	for _, s := range w.senders {
-		stopped.Go(func() { s.stop(terminateAfter) })
+	for _, sender := range h.senders {
+		stopped.Go(func() { sender.stop(stopTimeout) })
 	}
 	stopped.Wait()
 }
 
-func (w *World) allEndpoints() []*endpoint {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]*endpoint(nil), w.endpoints...)
+func (h *Harness) allEndpoints() []*endpoint {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return append([]*endpoint(nil), h.endpoints...)
 }
 
-func (w *World) close() {
-	for _, s := range w.senders {
-		if s.cmd != nil {
-			s.signal(9)
+func (h *Harness) close() {
+	for _, sender := range h.senders {
+		if sender.cmd != nil {
+			sender.signal(9)
 		}
-		s.agent.close()
+		sender.agent.close()
 	}
-	for _, e := range w.allEndpoints() {
+	for _, e := range h.allEndpoints() {
 		e.close()
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -12,15 +12,15 @@
 // setup is the JSON object that an instance gets at start. Unknown keys are
 // ignored.
 type setup struct {
-	Balancers int      `json:"balancers"`
-	Zone      int      `json:"zone"`
-	Zones     []string `json:"zones"`
-	Tick      float64  `json:"tick_s"`
-	Mode      string   `json:"membership_mode"`
-	Me        int      `json:"me"`
-	Weights   string   `json:"weights"`
-	Over      float64  `json:"over_share_worth"`
-	Classes   []struct {
+	Balancers      int      `json:"balancers"`
+	Zone           int      `json:"zone"`
+	Zones          []string `json:"zones"`
+	Tick           float64  `json:"tick_s"`
+	MembershipMode string   `json:"membership_mode"`
+	Sender         int      `json:"me"`
+	Weights        string   `json:"weights"`
+	OverShareWorth float64  `json:"over_share_worth"`
+	Classes        []struct {
 		Name      string  `json:"name"`
 		Aim       float64 `json:"aim_s"`
 		Deadline  float64 `json:"deadline_s"`
@@ -35,8 +35,8 @@
 		Name  string  `json:"name"`
 		Quota float64 `json:"quota_rps"`
 	} `json:"tenants"`
-	Kinds  []string `json:"machine_types"`
-	Limits struct {
+	MachineTypes []string `json:"machine_types"`
+	Limits       struct {
 		MaxTries      int     `json:"max_attempts"`
 		MaxOpen       int     `json:"max_open"`
 		ConnIdle      float64 `json:"conn_idle_s"`
@@ -50,7 +50,7 @@
 	Charges struct {
 		Handshake float64 `json:"handshake"`
 	} `json:"charges"`
-	Load struct {
+	LoadInfo struct {
 		How   string   `json:"how"`
 		Names []string `json:"names"`
 	} `json:"load_info"`
@@ -62,7 +62,7 @@
 		WarmAfter    float64 `json:"warm_after_s"`
 		KeyQuiet     float64 `json:"key_quiet_s"`
 	} `json:"rules"`
-	Facts struct {
+	Specifics struct {
 		Slots int    `json:"call_slots"`
 		Late  string `json:"late"`
 		Batch []int  `json:"batch_by_kind"`
@@ -75,90 +75,90 @@
 var weightModes = map[string]logic.WeightsMode{"": logic.WeightsOff, "off": logic.WeightsOff,
 	"nominal": logic.WeightsNominal, "rough": logic.WeightsRough, "live": logic.WeightsRough}
 
-// micros turns seconds of the JSON text into whole microseconds. What no span can be stays far out of bounds.
-func micros(s float64) logic.Micros {
-	return logic.Micros(math.Round(max(-1e9, min(s, 1e9)) * float64(logic.Second)))
+// toMicros turns seconds of the JSON text into whole microseconds. What no span can be stays far out of bounds.
+func toMicros(seconds float64) logic.Micros {
+	return logic.Micros(math.Round(max(-1e9, min(seconds, 1e9)) * float64(logic.Second)))
 }
 
 // Deployment is what the JSON object states: the module's settings, and what only
 // the program around it needs.
 type Deployment struct {
 	Settings       logic.Settings
-	Me             int      // number of this sender
+	SenderIndex    int      // number of this sender
 	Zones          []string // names, in the order of logic.Entry.Zone
 	ConnectTimeout logic.Micros
-	Unread         error // what cannot be read; it counts as missing
+	InvalidValues  error // what cannot be read; it counts as missing
 }
 
 // ParseSettings reads the module's settings from the JSON object of a create
 // event. Whether the values make sense is for logic.New to say.
 func ParseSettings(text []byte) (logic.Settings, error) {
-	d, err := ParseDeployment(text)
-	return d.Settings, errors.Join(err, d.Unread)
+	deployment, err := ParseDeployment(text)
+	return deployment.Settings, errors.Join(err, deployment.InvalidValues)
 }
 
 // ParseDeployment reads the whole JSON object.
 func ParseDeployment(text []byte) (Deployment, error) {
-	var in setup
-	err := json.Unmarshal(text, &in)
-	unread := new(json.UnmarshalTypeError) // the rest is read all the same
-	if err != nil && !errors.As(err, &unread) {
+	var object setup
+	err := json.Unmarshal(text, &object)
+	typeError := new(json.UnmarshalTypeError) // the rest is read all the same
+	if err != nil && !errors.As(err, &typeError) {
 		return Deployment{}, err
 	}
-	set, bad := in.settings()
-	return Deployment{Settings: set, Me: in.Me, Zones: in.Zones, ConnectTimeout: micros(in.Limits.ConnTimeout),
-		Unread: errors.Join(err, bad)}, nil
+	settings, invalid := object.settings()
+	return Deployment{Settings: settings, SenderIndex: object.Sender, Zones: object.Zones, ConnectTimeout: toMicros(object.Limits.ConnTimeout),
+		InvalidValues: errors.Join(err, invalid)}, nil
 }
 
 // settings takes a word that it does not know for the most careful one, and says so.
-func (in *setup) settings() (logic.Settings, error) {
-	var bad []error
-	out := logic.Settings{Senders: in.Balancers, Zone: in.Zone, Zones: len(in.Zones), Slots: in.Facts.Slots,
-		ConnIdle: micros(in.Limits.ConnIdle), ConnCalls: in.Limits.ConnCalls, ConnPrice: in.Charges.Handshake,
-		MaxOpen: in.Limits.MaxOpen, MaxTries: in.Limits.MaxTries, Tick: micros(in.Tick),
-		ListOnRequest: in.Mode == "on_request", MayProbe: in.Limits.Probing, MayCancel: in.Limits.MayCancel,
-		AdviseRetry: in.Limits.RetryAfter, WorthHalves: in.Facts.Late == "halves",
-		MaxRetryAfter: micros(in.Limits.MaxRetryAfter), OverShareWorth: in.Over,
-		DrainGrace: micros(in.Rules.DrainGrace), FallMultiple: in.Rules.FallMultiple,
-		FallWindow: micros(in.Rules.Fall), ColdFrom: in.Rules.ColdFrom, WarmAfter: micros(in.Rules.WarmAfter),
-		KeyQuiet: micros(in.Rules.KeyQuiet), LimitLeftIndex: -1, LimitIndex: -1}
-	mode, ok := weightModes[in.Weights]
+func (s *setup) settings() (logic.Settings, error) {
+	var invalid []error
+	settings := logic.Settings{Senders: s.Balancers, Zone: s.Zone, Zones: len(s.Zones), Slots: s.Specifics.Slots,
+		ConnIdle: toMicros(s.Limits.ConnIdle), ConnCalls: s.Limits.ConnCalls, ConnPrice: s.Charges.Handshake,
+		MaxOpen: s.Limits.MaxOpen, MaxTries: s.Limits.MaxTries, Tick: toMicros(s.Tick),
+		ListOnRequest: s.MembershipMode == "on_request", MayProbe: s.Limits.Probing, MayCancel: s.Limits.MayCancel,
+		AdviseRetry: s.Limits.RetryAfter, WorthHalves: s.Specifics.Late == "halves",
+		MaxRetryAfter: toMicros(s.Limits.MaxRetryAfter), OverShareWorth: s.OverShareWorth,
+		DrainGrace: toMicros(s.Rules.DrainGrace), FallMultiple: s.Rules.FallMultiple,
+		FallWindow: toMicros(s.Rules.Fall), ColdFrom: s.Rules.ColdFrom, WarmAfter: toMicros(s.Rules.WarmAfter),
+		KeyQuiet: toMicros(s.Rules.KeyQuiet), LimitLeftIndex: -1, LimitIndex: -1}
+	weights, ok := weightModes[s.Weights]
 	if !ok {
-		bad = append(bad, fmt.Errorf("weights: unknown value %q, taken for off", in.Weights))
+		invalid = append(invalid, fmt.Errorf("weights: unknown value %q, taken for off", s.Weights))
 	}
-	out.Weights = mode
-	for i, c := range in.Classes {
-		effect, ok := effects[c.Effect]
+	settings.Weights = weights
+	for i, class := range s.Classes {
+		effect, ok := effects[class.Effect]
 		if !ok {
 			effect = logic.Unsafe
-			bad = append(bad, fmt.Errorf("classes[%d].idempotency: unknown value %q, taken for fragile", i, c.Effect))
+			invalid = append(invalid, fmt.Errorf("classes[%d].idempotency: unknown value %q, taken for fragile", i, class.Effect))
 		}
-		out.Classes = append(out.Classes, logic.Class{Name: c.Name, Aim: micros(c.Aim), Deadline: micros(c.Deadline),
-			Worth: c.Worth, LateWorth: c.Late, Effect: effect, ByZone: c.Group != "all" && c.Group != "",
-			Window: micros(c.Window), KeepOrder: c.KeepOrder})
+		settings.Classes = append(settings.Classes, logic.Class{Name: class.Name, Aim: toMicros(class.Aim), Deadline: toMicros(class.Deadline),
+			Worth: class.Worth, LateWorth: class.Late, Effect: effect, ByZone: class.Group != "all" && class.Group != "",
+			Window: toMicros(class.Window), KeepOrder: class.KeepOrder})
 	}
-	for _, t := range in.Tenants {
-		out.Tenants = append(out.Tenants, logic.Tenant{Name: t.Name, QuotaRPS: t.Quota})
+	for _, tenant := range s.Tenants {
+		settings.Tenants = append(settings.Tenants, logic.Tenant{Name: tenant.Name, QuotaRPS: tenant.Quota})
 	}
-	for i, name := range in.Kinds {
-		k := logic.Kind{Name: name, Batch: 1}
-		if i < len(in.Facts.Batch) {
-			k.Batch = in.Facts.Batch[i]
+	for i, name := range s.MachineTypes {
+		kind := logic.Kind{Name: name, Batch: 1}
+		if i < len(s.Specifics.Batch) {
+			kind.Batch = s.Specifics.Batch[i]
 		}
-		if i < len(in.Facts.Apart) {
-			k.SeparateRoutes = in.Facts.Apart[i]
+		if i < len(s.Specifics.Apart) {
+			kind.SeparateRoutes = s.Specifics.Apart[i]
 		}
-		out.Kinds = append(out.Kinds, k)
+		settings.Kinds = append(settings.Kinds, kind)
 	}
-	if in.Load.How != "off" {
-		for i, name := range in.Load.Names {
+	if s.LoadInfo.How != "off" {
+		for i, name := range s.LoadInfo.Names {
 			switch name {
 			case "x0":
-				out.LimitLeftIndex = i
+				settings.LimitLeftIndex = i
 			case "x1":
-				out.LimitIndex = i
+				settings.LimitIndex = i
 			}
 		}
 	}
-	return out, errors.Join(bad...)
+	return settings, errors.Join(invalid...)
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -15,10 +15,10 @@
 // Item is one event of a frame with the instance that it is for. Exactly one of
 // Create, Halt and Event is set.
 type Item struct {
-	Who    int
-	Create *Create
-	Halt   bool
-	Event  logic.Event
+	Instance int
+	Create   *Create
+	Halt     bool
+	Event    logic.Event
 }
 
 // Create brings an instance up.
@@ -36,85 +36,85 @@
 
 // Error tells where a frame is malformed.
 type Error struct {
-	Line  int
-	Field string
-	Msg   string
+	Line    int
+	Field   string
+	Message string
 }
 
 func (e *Error) Error() string {
 	if e.Field == "" {
-		return fmt.Sprintf("line %d: %s", e.Line, e.Msg)
+		return fmt.Sprintf("line %d: %s", e.Line, e.Message)
 	}
-	return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.Msg)
+	return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.Message)
 }
 
-// lists is how many list numbers the wire has.
-const lists = 16
+// listCount is how many list numbers the wire has.
+const listCount = 16
 
 // Decoder reads frames.
 type Decoder struct {
-	r    *bufio.Reader
-	line int
-	kept [lists][]logic.Entry
+	reader *bufio.Reader
+	line   int
+	lists  [listCount][]logic.Entry
 }
 
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{r: bufio.NewReaderSize(r, 1<<16)}
+	return &Decoder{reader: bufio.NewReaderSize(r, 1<<16)}
 }
 
 // readLine returns the next line without its end; io.EOF only before the first
 // byte of a line.
 func (d *Decoder) readLine() (string, error) {
-	s, err := d.r.ReadString('\n')
-	if err == io.EOF && s != "" {
+	text, err := d.reader.ReadString('\n')
+	if err == io.EOF && text != "" {
 		err = nil
 	}
 	if err != nil {
 		return "", err
 	}
 	d.line++
-	return strings.TrimRight(s, "\r\n"), nil
+	return strings.TrimRight(text, "\r\n"), nil
 }
 
 // Next returns the next frame, or io.EOF when the input has ended between two
 // frames.
 func (d *Decoder) Next() (*Frame, error) {
-	s, err := d.readLine()
-	for err == nil && s == "" {
-		s, err = d.readLine()
+	text, err := d.readLine()
+	for err == nil && text == "" {
+		text, err = d.readLine()
 	}
 	if err != nil {
 		return nil, err
 	}
-	f := d.fields(s)
-	if f.name != "frame" {
-		return nil, &Error{d.line, "", "want a frame, got " + strconv.Quote(f.name)}
+	parser := d.parser(text)
+	if parser.name != "frame" {
+		return nil, &Error{d.line, "", "want a frame, got " + strconv.Quote(parser.name)}
 	}
-	out := &Frame{Clock: f.time("clock_s"), Seq: f.word("round")}
-	if _, err := strconv.ParseUint(out.Seq, 10, 64); err != nil {
-		f.fail("round", "not a whole number")
+	frame := &Frame{Clock: parser.time("clock_s"), Seq: parser.word("round")}
+	if _, err := strconv.ParseUint(frame.Seq, 10, 64); err != nil {
+		parser.fail("round", "not a whole number")
 	}
-	if err := f.end(); err != nil {
+	if err := parser.finish(); err != nil {
 		return nil, err
 	}
 	for {
-		if s, err = d.readLine(); err == io.EOF {
+		if text, err = d.readLine(); err == io.EOF {
 			return nil, &Error{d.line + 1, "", "input ends inside a frame"}
 		} else if err != nil {
 			return nil, err
 		}
-		switch name, _, _ := strings.Cut(s, " "); name {
+		switch name, _, _ := strings.Cut(text, " "); name {
 		case "":
 			continue
 		case "eob":
-			return out, nil
+			return frame, nil
 		case "register":
-			err = d.register(d.fields(s))
+			err = d.readList(d.parser(text))
 		default:
-			var it Item
-			if it, err = d.item(d.fields(s)); err == nil {
-				out.Items = append(out.Items, it)
+			var item Item
+			if item, err = d.parseItem(d.parser(text)); err == nil {
+				frame.Items = append(frame.Items, item)
 			}
 		}
 		if err != nil {
@@ -123,299 +123,299 @@
 	}
 }
 
-func (d *Decoder) register(f *fields) error {
-	set, n := f.whole("set_id"), f.whole("rows")
-	if set < 0 || set >= lists {
-		f.fail("set_id", "out of range")
+func (d *Decoder) readList(parser *lineParser) error {
+	number, rows := parser.integer("set_id"), parser.integer("rows")
+	if number < 0 || number >= listCount {
+		parser.fail("set_id", "out of range")
 	}
-	if n < 0 {
-		f.fail("rows", "negative")
+	if rows < 0 {
+		parser.fail("rows", "negative")
 	}
-	if err := f.end(); err != nil {
+	if err := parser.finish(); err != nil {
 		return err
 	}
-	var rows []logic.Entry
-	for i := int64(0); i < n; i++ {
-		s, err := d.readLine()
+	var entries []logic.Entry
+	for i := int64(0); i < rows; i++ {
+		text, err := d.readLine()
 		if err == io.EOF {
 			return &Error{d.line + 1, "rows", "input ends inside a list"}
 		} else if err != nil {
 			return err
 		}
-		e := d.fields(s)
-		if e.name != "entry" {
-			return &Error{d.line, "", "want an entry, got " + strconv.Quote(e.name)}
+		entryParser := d.parser(text)
+		if entryParser.name != "entry" {
+			return &Error{d.line, "", "want an entry, got " + strconv.Quote(entryParser.name)}
 		}
-		row := logic.Entry{Endpoint: e.endpoint(), Zone: int(e.whole("zone")), Kind: int(e.whole("kind")),
-			Destination: e.whole("cell"), State: e.readiness(), Nominal: e.number("nominal")}
-		e.time("born_s")
-		if err := e.end(); err != nil {
+		entry := logic.Entry{Endpoint: entryParser.endpoint(), Zone: int(entryParser.integer("zone")), Kind: int(entryParser.integer("kind")),
+			Destination: entryParser.integer("cell"), State: entryParser.readiness(), Nominal: entryParser.number("nominal")}
+		entryParser.time("born_s")
+		if err := entryParser.finish(); err != nil {
 			return err
 		}
-		rows = append(rows, row)
+		entries = append(entries, entry)
 	}
-	d.kept[set] = rows
+	d.lists[number] = entries
 	return nil
 }
 
-func (d *Decoder) item(f *fields) (Item, error) {
-	it := Item{Who: int(f.whole("who"))}
-	switch f.name {
+func (d *Decoder) parseItem(parser *lineParser) (Item, error) {
+	item := Item{Instance: int(parser.integer("who"))}
+	switch parser.name {
 	case "create":
-		c := &Create{Seed: f.seed("random_seed")}
-		text := f.rest()
-		if f.err != nil {
-			return it, f.err
+		create := &Create{Seed: parser.seed("random_seed")}
+		text := parser.takeRest()
+		if parser.err != nil {
+			return item, parser.err
 		}
-		set, err := ParseSettings([]byte(text))
+		settings, err := ParseSettings([]byte(text))
 		if err != nil {
-			return it, &Error{d.line, "setup", err.Error()}
+			return item, &Error{d.line, "setup", err.Error()}
 		}
-		c.Settings = set
-		it.Create = c
-		return it, nil
+		create.Settings = settings
+		item.Create = create
+		return item, nil
 	case "halt":
-		it.Halt = true
+		item.Halt = true
 	case "endpoints":
-		it.Event = d.endpoints(f)
+		item.Event = d.parseEndpoints(parser)
 	case "call":
-		it.Event = call(f)
+		item.Event = parseCall(parser)
 	case "started":
-		it.Event = logic.StreamStarted{ID: f.word("req"), Attempt: int(f.whole("copy"))}
-		f.endpoint()
-		f.time("time_taken_s")
+		item.Event = logic.StreamStarted{ID: parser.word("req"), Attempt: int(parser.integer("copy"))}
+		parser.endpoint()
+		parser.time("time_taken_s")
 	case "reply":
-		it.Event = reply(f)
+		item.Event = parseReply(parser)
 	case "client_gone":
-		it.Event = logic.ClientGone{ID: f.word("req")}
+		item.Event = logic.ClientGone{ID: parser.word("req")}
 	case "due":
-		it.Event = logic.TimerExpired{Token: f.token("ctx")}
+		item.Event = logic.TimerExpired{Token: parser.token("ctx")}
 	case "health_result":
-		o := f.outcome()
-		f.time("time_taken_s")
-		it.Event = logic.HealthResult{Outcome: o, Endpoint: f.endpoint(), Load: f.load()}
+		outcome := parser.outcome()
+		parser.time("time_taken_s")
+		item.Event = logic.HealthResult{Outcome: outcome, Endpoint: parser.endpoint(), Load: parser.load()}
 	case "peer":
 		// The module uses no messages between senders; the line is checked and dropped.
-		f.whole("neighbour")
-		f.word("msg")
-		it.Event = nil
+		parser.integer("neighbour")
+		parser.word("msg")
+		item.Event = nil
 	default:
-		return it, &Error{d.line, "", "unknown event " + strconv.Quote(f.name)}
+		return item, &Error{d.line, "", "unknown event " + strconv.Quote(parser.name)}
 	}
-	return it, f.end()
+	return item, parser.finish()
 }
 
-func (d *Decoder) endpoints(f *fields) logic.Event {
-	form := f.whole("form")
-	f.whole("stamp")
+func (d *Decoder) parseEndpoints(parser *lineParser) logic.Event {
+	form := parser.integer("form")
+	parser.integer("stamp")
 	if form < int64(logic.ListDelta) || form > int64(logic.ListRequestFailed) {
-		f.fail("form", "out of range")
+		parser.fail("form", "out of range")
 		return nil
 	}
-	ev := logic.ListUpdate{Form: logic.ListForm(form)}
-	if ev.Form == logic.ListRequestFailed {
-		f.word("set_id")
-		return ev
+	event := logic.ListUpdate{Form: logic.ListForm(form)}
+	if event.Form == logic.ListRequestFailed {
+		parser.word("set_id")
+		return event
 	}
-	set := f.whole("set_id")
-	if set < 0 || set >= lists {
-		f.fail("set_id", "out of range")
+	number := parser.integer("set_id")
+	if number < 0 || number >= listCount {
+		parser.fail("set_id", "out of range")
 		return nil
 	}
-	ev.Entries = d.kept[set]
-	return ev
+	event.Entries = d.lists[number]
+	return event
 }
 
-func call(f *fields) logic.Event {
-	c := logic.NewMessage{ID: f.word("req")}
-	f.flag("repeat")
-	c.TimeLeft = f.time("grace_s")
-	f.flag("came_back")
-	f.number("expected_s")
-	c.Key = f.optional("key")
-	f.flag("is_write")
-	c.Destination = f.whole("to_exchange")
+func parseCall(parser *lineParser) logic.Event {
+	c := logic.NewMessage{ID: parser.word("req")}
+	parser.flag("repeat")
+	c.TimeLeft = parser.time("grace_s")
+	parser.flag("came_back")
+	parser.number("expected_s")
+	c.Key = parser.optional("key")
+	parser.flag("is_write")
+	c.Destination = parser.integer("to_exchange")
 	c.Tenant = -1
-	if w := f.optional("realm"); w != "" {
-		c.Tenant = int(f.parseWhole("realm", w))
+	if word := parser.optional("realm"); word != "" {
+		c.Tenant = int(parser.parseInteger("realm", word))
 	}
-	c.Class = int(f.whole("category"))
+	c.Class = int(parser.integer("category"))
 	return c
 }
 
-func reply(f *fields) logic.Event {
-	r := logic.AttemptResult{ID: f.word("req"), MessageEnded: f.flag("no_more"), Endpoint: f.endpoint(),
-		Attempt: int(f.whole("copy")), Outcome: f.outcome(), Duration: f.time("time_taken_s")}
+func parseReply(parser *lineParser) logic.Event {
+	r := logic.AttemptResult{ID: parser.word("req"), MessageEnded: parser.flag("no_more"), Endpoint: parser.endpoint(),
+		Attempt: int(parser.integer("copy")), Outcome: parser.outcome(), Duration: parser.time("time_taken_s")}
 	detail := int64(0)
-	if w := f.optional("detail"); w != "" {
-		detail = f.parseWhole("detail", w)
+	if word := parser.optional("detail"); word != "" {
+		detail = parser.parseInteger("detail", word)
 	}
 	if r.Outcome == logic.Rejected && detail > 0 {
 		r.RetryAfter = logic.Micros(detail) * logic.Second / 1000
 	}
-	r.Load = f.load()
+	r.Load = parser.load()
 	return r
 }
 
-// fields takes the values of one line in order and keeps the first error.
-type fields struct {
-	name, left string
+// lineParser takes the values of one line in order and keeps the first error.
+type lineParser struct {
+	name, rest string
 	line       int
 	err        error
 }
 
-func (d *Decoder) fields(s string) *fields {
-	name, left, _ := strings.Cut(s, " ")
-	return &fields{name: name, left: left, line: d.line}
+func (d *Decoder) parser(text string) *lineParser {
+	name, rest, _ := strings.Cut(text, " ")
+	return &lineParser{name: name, rest: rest, line: d.line}
 }
 
-func (f *fields) fail(field, msg string) {
-	if f.err == nil {
-		f.err = &Error{f.line, field, msg}
+func (p *lineParser) fail(field, message string) {
+	if p.err == nil {
+		p.err = &Error{p.line, field, message}
 	}
 }
 
-func (f *fields) end() error {
-	if f.err == nil && f.left != "" {
-		f.fail("", "more values than "+f.name+" has")
+func (p *lineParser) finish() error {
+	if p.err == nil && p.rest != "" {
+		p.fail("", "more values than "+p.name+" has")
 	}
-	return f.err
+	return p.err
 }
 
-func (f *fields) rest() string {
-	s := f.left
-	f.left = ""
-	return s
+func (p *lineParser) takeRest() string {
+	rest := p.rest
+	p.rest = ""
+	return rest
 }
 
-func (f *fields) word(field string) string {
-	w, left, _ := strings.Cut(f.left, " ")
-	f.left = left
-	if w == "" {
-		f.fail(field, "missing")
+func (p *lineParser) word(field string) string {
+	word, rest, _ := strings.Cut(p.rest, " ")
+	p.rest = rest
+	if word == "" {
+		p.fail(field, "missing")
 	}
-	return w
+	return word
 }
 
 // optional is a word that may be absent; then it is empty.
-func (f *fields) optional(field string) string {
-	w := f.word(field)
-	if w == "-" {
+func (p *lineParser) optional(field string) string {
+	word := p.word(field)
+	if word == "-" {
 		return ""
 	}
-	return w
+	return word
 }
 
-func (f *fields) parseWhole(field, w string) int64 {
-	n, err := strconv.ParseInt(w, 10, 64)
+func (p *lineParser) parseInteger(field, word string) int64 {
+	n, err := strconv.ParseInt(word, 10, 64)
 	if err != nil {
 		// A whole number in a field of type number may come with a fraction of nought.
-		x, ferr := strconv.ParseFloat(w, 64)
-		if ferr != nil || x != float64(int64(x)) {
-			f.fail(field, "not a whole number: "+strconv.Quote(w))
+		x, floatErr := strconv.ParseFloat(word, 64)
+		if floatErr != nil || x != float64(int64(x)) {
+			p.fail(field, "not a whole number: "+strconv.Quote(word))
 		}
 		n = int64(x)
 	}
 	return n
 }
 
-func (f *fields) whole(field string) int64 { return f.parseWhole(field, f.word(field)) }
+func (p *lineParser) integer(field string) int64 { return p.parseInteger(field, p.word(field)) }
 
-func (f *fields) token(field string) uint64 {
-	n, err := strconv.ParseUint(f.word(field), 10, 64)
+func (p *lineParser) token(field string) uint64 {
+	n, err := strconv.ParseUint(p.word(field), 10, 64)
 	if err != nil {
-		f.fail(field, "not a token")
+		p.fail(field, "not a token")
 	}
 	return n
 }
 
-func (f *fields) seed(field string) uint64 {
-	w := f.word(field)
-	if n, err := strconv.ParseInt(w, 10, 64); err == nil {
+func (p *lineParser) seed(field string) uint64 {
+	word := p.word(field)
+	if n, err := strconv.ParseInt(word, 10, 64); err == nil {
 		return uint64(n)
 	}
-	n, err := strconv.ParseUint(w, 10, 64)
+	n, err := strconv.ParseUint(word, 10, 64)
 	if err != nil {
-		f.fail(field, "not a whole number: "+strconv.Quote(w))
+		p.fail(field, "not a whole number: "+strconv.Quote(word))
 	}
 	return n
 }
 
-func (f *fields) endpoint() logic.EndpointID {
-	n := f.whole("endpoint")
+func (p *lineParser) endpoint() logic.EndpointID {
+	n := p.integer("endpoint")
 	if n < 0 || n > 1<<32-1 {
-		f.fail("endpoint", "out of range")
+		p.fail("endpoint", "out of range")
 	}
 	return logic.EndpointID(n)
 }
 
-func (f *fields) flag(field string) bool {
-	w := f.word(field)
-	if w != "0" && w != "1" && w != "-" {
-		f.fail(field, "not 0 or 1: "+strconv.Quote(w))
+func (p *lineParser) flag(field string) bool {
+	word := p.word(field)
+	if word != "0" && word != "1" && word != "-" {
+		p.fail(field, "not 0 or 1: "+strconv.Quote(word))
 	}
-	return w == "1"
+	return word == "1"
 }
 
-func (f *fields) number(field string) float64 {
-	w := f.optional(field)
-	if w == "" {
+func (p *lineParser) number(field string) float64 {
+	word := p.optional(field)
+	if word == "" {
 		return 0
 	}
-	x, err := strconv.ParseFloat(w, 64)
+	x, err := strconv.ParseFloat(word, 64)
 	if err != nil || x-x != 0 {
-		f.fail(field, "not a number: "+strconv.Quote(w))
+		p.fail(field, "not a number: "+strconv.Quote(word))
 		return 0
 	}
 	return x
 }
 
-func (f *fields) time(field string) logic.Micros {
-	w := f.optional(field)
-	if w == "" {
+func (p *lineParser) time(field string) logic.Micros {
+	word := p.optional(field)
+	if word == "" {
 		return 0
 	}
-	t, err := ParseTime(w)
+	t, err := ParseTime(word)
 	if err != nil {
-		f.fail(field, err.Error())
+		p.fail(field, err.Error())
 	}
 	return t
 }
 
-func (f *fields) load() []float64 {
-	w := f.optional("pressure")
-	if w == "" {
+func (p *lineParser) load() []float64 {
+	word := p.optional("pressure")
+	if word == "" {
 		return nil
 	}
-	var out []float64
-	for _, part := range strings.Split(w, ",") {
+	var values []float64
+	for _, part := range strings.Split(word, ",") {
 		x, err := strconv.ParseFloat(part, 64)
 		if err != nil || x-x != 0 {
-			f.fail("pressure", "not a number: "+strconv.Quote(part))
+			p.fail("pressure", "not a number: "+strconv.Quote(part))
 			return nil
 		}
-		out = append(out, x)
+		values = append(values, x)
 	}
-	return out
+	return values
 }
 
-func (f *fields) outcome() logic.Outcome {
-	w := f.word("reason")
-	for i, name := range outcomes {
-		if w == name {
+func (p *lineParser) outcome() logic.Outcome {
+	word := p.word("reason")
+	for i, name := range outcomeNames {
+		if word == name {
 			return logic.Outcome(i)
 		}
 	}
-	f.fail("reason", "unknown outcome "+strconv.Quote(w))
+	p.fail("reason", "unknown outcome "+strconv.Quote(word))
 	return 0
 }
 
-var outcomes = [...]string{logic.Completed: "completed", logic.Errored: "errored", logic.Rejected: "saturated",
+var outcomeNames = [...]string{logic.Completed: "completed", logic.Errored: "errored", logic.Rejected: "saturated",
 	logic.TimedOut: "overdue", logic.ConnRefused: "refused_conn", logic.ConnBroken: "severed",
 	logic.Cancelled: "recalled", logic.NotSent: "superseded"}
 
-func (f *fields) readiness() logic.EndpointState {
-	switch n := f.whole("readiness"); n {
+func (p *lineParser) readiness() logic.EndpointState {
+	switch n := p.integer("readiness"); n {
 	case 0:
 		return logic.Ready
 	case 3:
@@ -423,40 +423,40 @@
 	case 1:
 		return logic.Removed
 	default:
-		f.fail("readiness", fmt.Sprintf("unknown state %d", n))
+		p.fail("readiness", fmt.Sprintf("unknown state %d", n))
 		return logic.Removed
 	}
 }
 
 // ParseTime reads a time in seconds as whole microseconds, exactly.
-func ParseTime(w string) (logic.Micros, error) {
-	body, neg := strings.CutPrefix(w, "-")
-	whole, frac, _ := strings.Cut(body, ".")
+func ParseTime(text string) (logic.Micros, error) {
+	body, negative := strings.CutPrefix(text, "-")
+	whole, fraction, _ := strings.Cut(body, ".")
 	if strings.ContainsAny(body, "eE") {
-		x, err := strconv.ParseFloat(w, 64)
-		if err != nil || x-x != 0 || x > 1e12 || x < -1e12 {
-			return 0, fmt.Errorf("not a time: %q", w)
+		seconds, err := strconv.ParseFloat(text, 64)
+		if err != nil || seconds-seconds != 0 || seconds > 1e12 || seconds < -1e12 {
+			return 0, fmt.Errorf("not a time: %q", text)
 		}
-		if x < 0 {
-			return -logic.Micros(-x*1e6 + 0.5), nil
+		if seconds < 0 {
+			return -logic.Micros(-seconds*1e6 + 0.5), nil
 		}
-		return logic.Micros(x*1e6 + 0.5), nil
+		return logic.Micros(seconds*1e6 + 0.5), nil
 	}
-	if len(frac) > 6 {
-		if strings.Trim(frac[6:], "0123456789") != "" {
-			return 0, fmt.Errorf("not a time: %q", w)
+	if len(fraction) > 6 {
+		if strings.Trim(fraction[6:], "0123456789") != "" {
+			return 0, fmt.Errorf("not a time: %q", text)
 		}
-		frac = frac[:6]
+		fraction = fraction[:6]
 	}
-	digits := whole + frac + "000000"[len(frac):]
-	n, err := strconv.ParseUint(digits, 10, 63)
+	digits := whole + fraction + "000000"[len(fraction):]
+	micros, err := strconv.ParseUint(digits, 10, 63)
 	if err != nil || whole == "" {
-		return 0, fmt.Errorf("not a time: %q", w)
+		return 0, fmt.Errorf("not a time: %q", text)
 	}
-	if neg {
-		return -logic.Micros(n), nil
+	if negative {
+		return -logic.Micros(micros), nil
 	}
-	return logic.Micros(n), nil
+	return logic.Micros(micros), nil
 }
 
 // AppendTime writes whole microseconds as seconds, exactly and without needless
@@ -467,48 +467,48 @@
 		t = -t
 	}
 	b = strconv.AppendInt(b, int64(t/logic.Second), 10)
-	frac := int64(t % logic.Second)
-	if frac == 0 {
+	fraction := int64(t % logic.Second)
+	if fraction == 0 {
 		return b
 	}
-	return append(b, strings.TrimRight(fmt.Sprintf(".%06d", frac), "0")...)
+	return append(b, strings.TrimRight(fmt.Sprintf(".%06d", fraction), "0")...)
 }
 
 // AppendAction writes one action of an instance as a line.
-func AppendAction(b []byte, who int, a logic.Action) []byte {
-	w := strconv.Itoa(who)
+func AppendAction(b []byte, instance int, a logic.Action) []byte {
+	number := strconv.Itoa(instance)
 	switch a := a.(type) {
 	case logic.CallOut:
-		b = append(b, "call_out "+w+" "+a.ID+" "...)
+		b = append(b, "call_out "+number+" "+a.ID+" "...)
 		b = AppendTime(b, a.GiveUp)
 		b = append(b, ' ')
 		b = strconv.AppendUint(b, uint64(a.Endpoint), 10)
 	case logic.Cancel:
-		b = append(b, "stop_attempt "+w+" "+a.ID+" "+strconv.Itoa(a.Attempt)...)
+		b = append(b, "stop_attempt "+number+" "+a.ID+" "+strconv.Itoa(a.Attempt)...)
 	case logic.Refuse:
-		b = append(b, "say_no "+w+" "+a.ID+" "...)
+		b = append(b, "say_no "+number+" "+a.ID+" "...)
 		if a.RetryIn > 0 {
 			b = AppendTime(b, a.RetryIn)
 		} else {
 			b = append(b, '-')
 		}
 	case logic.Fail:
-		b = append(b, "surrender "+w+" "+a.ID...)
+		b = append(b, "surrender "+number+" "+a.ID...)
 	case logic.SetTimer:
-		b = append(b, "notify_me "+w+" "...)
+		b = append(b, "notify_me "+number+" "...)
 		b = AppendTime(b, a.Wait)
 		b = append(b, ' ')
 		b = strconv.AppendUint(b, a.Token, 10)
 	case logic.Probe:
-		b = append(b, "sample "+w+" "...)
+		b = append(b, "sample "+number+" "...)
 		b = strconv.AppendUint(b, uint64(a.Endpoint), 10)
 	case logic.Release:
-		b = append(b, "release "+w+" "...)
+		b = append(b, "release "+number+" "...)
 		b = strconv.AppendUint(b, uint64(a.Endpoint), 10)
 	case logic.Listen:
-		b = append(b, "listen "+w+" 1"...)
+		b = append(b, "listen "+number+" 1"...)
 	case logic.Log:
-		b = append(b, "journal_line "+w+" "+strings.ReplaceAll(a.Text, "\n", " ")...)
+		b = append(b, "journal_line "+number+" "+strings.ReplaceAll(a.Text, "\n", " ")...)
 	}
 	return append(b, '\n')
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"crossdeal/logic"
 )
 
-func TestTimesAreExact(t *testing.T) {
+func TestTimesRoundTripExactly(t *testing.T) {
 	for text, want := range map[string]logic.Micros{"0": 0, "8.41225": 8_412_250, "0.5": 500_000, "665093.69785": 665_093_697_850,
 		"0.000001": 1, "12": 12_000_000, "-0.25": -250_000, "9007199254.740993": 9_007_199_254_740_993, "1e-05": 10} {
 		got, err := ParseTime(text)
@@ -28,8 +28,8 @@
 	}
 }
 
-func TestGoldenFrame(t *testing.T) {
-	dec := NewDecoder(strings.NewReader(`frame 8.41225 12
+func TestDecodeFrame(t *testing.T) {
+	decoder := NewDecoder(strings.NewReader(`frame 8.41225 12
 register 0 2
 entry 51530247 0 0 57 0 1 -
 entry 747639282 1 0 57 3 1.5 6.1
@@ -49,37 +49,37 @@
 halt 5
 eob
 `))
-	f, err := dec.Next()
+	frame, err := decoder.Next()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ev := func(who int, e logic.Event) Item { return Item{Who: who, Event: e} }
+	item := func(instance int, event logic.Event) Item { return Item{Instance: instance, Event: event} }
 	want := []Item{
-		ev(3, logic.ListUpdate{Form: logic.ListCached, Entries: []logic.Entry{{Endpoint: 51530247, Destination: 57, Nominal: 1},
+		item(3, logic.ListUpdate{Form: logic.ListCached, Entries: []logic.Entry{{Endpoint: 51530247, Destination: 57, Nominal: 1},
 			{Endpoint: 747639282, Zone: 1, Destination: 57, State: logic.Draining, Nominal: 1.5}}}),
-		ev(3, logic.ListUpdate{Entries: []logic.Entry{{Endpoint: 1, Destination: 58, State: logic.Removed}}}),
-		ev(3, logic.ListUpdate{Form: logic.ListRequestFailed}),
-		ev(3, logic.NewMessage{ID: "rq_brwyere", TimeLeft: 240_000, Key: "91f03b7c55d20a64", Destination: 57}),
-		ev(3, logic.NewMessage{ID: "rq_b", TimeLeft: 2_000_000, Destination: 57, Tenant: -1, Class: 1}),
-		ev(3, logic.AttemptResult{ID: "rq_brwyere", MessageEnded: true, Endpoint: 51530247, Duration: 18_500}),
-		ev(3, logic.AttemptResult{ID: "rq_b", Endpoint: 51530247, Attempt: 2, Outcome: logic.Rejected, Duration: 20_000, RetryAfter: 1_500_000,
+		item(3, logic.ListUpdate{Entries: []logic.Entry{{Endpoint: 1, Destination: 58, State: logic.Removed}}}),
+		item(3, logic.ListUpdate{Form: logic.ListRequestFailed}),
+		item(3, logic.NewMessage{ID: "rq_brwyere", TimeLeft: 240_000, Key: "91f03b7c55d20a64", Destination: 57}),
+		item(3, logic.NewMessage{ID: "rq_b", TimeLeft: 2_000_000, Destination: 57, Tenant: -1, Class: 1}),
+		item(3, logic.AttemptResult{ID: "rq_brwyere", MessageEnded: true, Endpoint: 51530247, Duration: 18_500}),
+		item(3, logic.AttemptResult{ID: "rq_b", Endpoint: 51530247, Attempt: 2, Outcome: logic.Rejected, Duration: 20_000, RetryAfter: 1_500_000,
 			Load: []float64{0.25, 12}}),
-		ev(3, logic.StreamStarted{ID: "rq_b", Attempt: 1}),
-		ev(5, logic.ClientGone{ID: "rq_ahg8m23"}),
-		ev(3, logic.HealthResult{Endpoint: 747639282, Outcome: logic.ConnRefused}),
-		ev(3, logic.TimerExpired{Token: 77}),
-		{Who: 5, Halt: true},
+		item(3, logic.StreamStarted{ID: "rq_b", Attempt: 1}),
+		item(5, logic.ClientGone{ID: "rq_ahg8m23"}),
+		item(3, logic.HealthResult{Endpoint: 747639282, Outcome: logic.ConnRefused}),
+		item(3, logic.TimerExpired{Token: 77}),
+		{Instance: 5, Halt: true},
 	}
-	if f.Clock != 8_412_250 || f.Seq != "12" || !reflect.DeepEqual(f.Items, want) {
-		t.Errorf("got %+v\nwant %+v", f.Items, want)
+	if frame.Clock != 8_412_250 || frame.Seq != "12" || !reflect.DeepEqual(frame.Items, want) {
+		t.Errorf("got %+v\nwant %+v", frame.Items, want)
 	}
-	if _, err := dec.Next(); err != io.EOF {
+	if _, err := decoder.Next(); err != io.EOF {
 		t.Errorf("after the last frame: %v", err)
 	}
 }
 
-func TestGoldenActions(t *testing.T) {
-	for want, a := range map[string]logic.Action{
+func TestAppendAction(t *testing.T) {
+	for want, action := range map[string]logic.Action{
 		"call_out 3 rq_a 0.08 51530247": logic.CallOut{ID: "rq_a", GiveUp: 80_000, Endpoint: 51530247},
 		"stop_attempt 3 rq_a 1":         logic.Cancel{ID: "rq_a", Attempt: 1},
 		"say_no 3 rq_a 1.5":             logic.Refuse{ID: "rq_a", RetryIn: 1_500_000},
@@ -91,7 +91,7 @@
 		"listen 3 1":                    logic.Listen{},
 		"journal_line 3 two servers":    logic.Log{Text: "two\nservers"},
 	} {
-		if got := string(AppendAction(nil, 3, a)); got != want+"\n" {
+		if got := string(AppendAction(nil, 3, action)); got != want+"\n" {
 			t.Errorf("got %q, want %q", got, want)
 		}
 	}
@@ -129,8 +129,8 @@
 	}
 }
 
-func TestSettings(t *testing.T) {
-	set, err := ParseSettings([]byte(`{"balancers":3,"zone":1,"zones":["a","b"],"tick_s":0.005,"unknown":[1],
+func TestParseSettings(t *testing.T) {
+	got, err := ParseSettings([]byte(`{"balancers":3,"zone":1,"zones":["a","b"],"tick_s":0.005,"unknown":[1],
 "classes":[{"name":"x","aim_s":2.5,"deadline_s":24,"group":"zone","idempotency":"dedup","late_worth":0.4,"window_s":25,"worth":2,"keep_order":true}],
 "tenants":[{"name":"t","quota_rps":10}],"machine_types":["k","l"],"membership_mode":"on_request","weights":"rough",
 "limits":{"conn_idle_s":10,"multiplex":8,"max_attempts":6,"max_open":69,"max_retry_after_s":2,"may_cancel":true,"probing":true,"retry_after":true},
@@ -145,8 +145,8 @@
 			Effect: logic.Keyed, ByZone: true, Window: 25_000_000, KeepOrder: true}},
 		Tenants: []logic.Tenant{{Name: "t", QuotaRPS: 10}},
 		Kinds:   []logic.Kind{{Name: "k", SeparateRoutes: true, Batch: 1}, {Name: "l", Batch: 4}}}
-	if err != nil || !reflect.DeepEqual(set, want) {
-		t.Errorf("got %+v, %v\nwant %+v", set, err, want)
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, %v\nwant %+v", got, err, want)
 	}
 	for _, text := range []string{`{"weights":"heavy"}`, `{"classes":[{"idempotency":"perhaps"}]}`, `[]`} {
 		if _, err := ParseSettings([]byte(text)); err == nil {
