--- a/cmd/cometrack/main.go
+++ b/cmd/cometrack/main.go
@@ -1,5 +1,5 @@
-// Command cometrack is one sender on real sockets: it takes messages from clients
-// over RESP2 and delivers them to the endpoints of their destinations over HTTP.
+// Command cometrack runs one sender on real sockets: it receives messages from clients over RESP2 and delivers them over
+// HTTP to the endpoints of their destinations.
 package main
 
 import (
@@ -25,10 +25,10 @@
 	}
 }
 
-// logLevelVariable names the environment variable that sets the lowest level that is logged: debug, info, warn or error.
+// logLevelVariable is the environment variable for the lowest level that is logged: debug, info, warn or error.
 const logLevelVariable = "BALANCER_LOG"
 
-// logLevel is the level that the environment asks for, info if it names none that is known.
+// logLevel returns the level that the environment sets, or info if it sets none or an unknown one.
 func logLevel() slog.Level {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(os.Getenv(logLevelVariable))); err != nil {
@@ -38,12 +38,12 @@
 }
 
 const (
-	configRetryDelay = 100 * time.Millisecond // before a configuration that could not be read is read again
+	configRetryDelay = 100 * time.Millisecond // between two reads of a configuration that could not be read
 	maxConfigReads   = 10
 )
 
 func run(log *slog.Logger) error {
-	hangups := make(chan os.Signal, 1) // one that is not read yet stands for all that came since
+	hangups := make(chan os.Signal, 1) // one pending signal stands for all that arrive before it is handled
 	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -70,7 +70,7 @@
 	return err
 }
 
-// followDiscoveryAddress takes discovery's address anew at each SIGHUP, until done is closed.
+// followDiscoveryAddress reads discovery's address again at each SIGHUP and passes it to the node, until done is closed.
 func followDiscoveryAddress(n *node.Node, log *slog.Logger, hangups <-chan os.Signal, done <-chan struct{}) {
 	for {
 		select {
@@ -79,7 +79,7 @@
 		case <-hangups:
 		}
 		address, err := node.LoadDiscoveryAddr()
-		for reads := 1; err != nil && reads < maxConfigReads; reads++ { // the file may be half written
+		for reads := 1; err != nil && reads < maxConfigReads; reads++ { // the file may be incomplete while it is being written
 			select {
 			case <-done:
 				return
@@ -88,7 +88,7 @@
 			address, err = node.LoadDiscoveryAddr()
 		}
 		if err != nil {
-			log.Error("configuration not taken", "err", err)
+			log.Error("cannot read the configuration, keeping the discovery address", "err", err)
 			continue
 		}
 		n.MoveDiscovery(address)
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,6 +1,5 @@
-// Command drill hosts instances of the decision module on the simulator's wire:
-// frames of events on standard input, one reply to each on standard output.
-// Instances share nothing.
+// Command drill runs instances of the decision logic for the simulator: it reads frames of events from standard input and
+// writes one reply to each to standard output. Instances share no state.
 package main
 
 import (
@@ -20,7 +19,7 @@
 	}
 }
 
-// instanceEvents holds the events of one instance in the frame at hand.
+// instanceEvents holds the events of one instance in the current frame.
 type instanceEvents struct {
 	instance int
 	sender   *logic.Sender
@@ -58,8 +57,8 @@
 	}
 }
 
-// groupByInstance starts and stops instances as the frame says and sorts its events by
-// instance, in the order in which instances first appear.
+// groupByInstance starts and stops instances as the frame requires, and groups its events by instance, in the order in
+// which the instances first appear. Instances that are stopped in the frame are left out.
 func groupByInstance(frame *wire.Frame, senders map[int]*logic.Sender) ([]*instanceEvents, error) {
 	var groups []*instanceEvents
 	byInstance := map[int]*instanceEvents{}
@@ -84,7 +83,7 @@
 				group.sender = nil
 			}
 		case senders[item.Instance] == nil:
-			// An event for an instance that is not up: nobody is there to hear it.
+			// The instance is not running: the event is dropped.
 		default:
 			group := byInstance[item.Instance]
 			if group == nil {
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -12,7 +12,7 @@
 	`"machine_types":["k"],"limits":{"max_attempts":6,"max_open":40,"may_cancel":true},"membership_mode":"pushed","weights":"off",` +
 	`"rules":{"cold_from":0.2,"drain_grace_s":1,"fall_multiple":2,"fall_s":2,"warm_after_s":14},"specifics":{"call_slots":4,"batch_by_kind":[1],"separate_routes":[false]}}`
 
-// frames makes frames for the given instances: starts, a list, messages that are refused or time out.
+// frames returns frames for the given instances: their start, a list, and messages that are refused or time out.
 func frames(instances ...int) string {
 	var b strings.Builder
 	fmt.Fprint(&b, "frame 1 1\nregister 0 2\nentry 11 0 0 5 0 0 -\nentry 12 0 0 5 0 0 -\n")
@@ -30,7 +30,7 @@
 	return b.String()
 }
 
-// actionsByInstance runs the adapter and returns the actions of each instance.
+// actionsByInstance runs the command on an input and returns the actions of each instance.
 func actionsByInstance(t *testing.T, in string) map[string][]string {
 	t.Helper()
 	var out bytes.Buffer
@@ -51,10 +51,10 @@
 	for instance := range 3 {
 		alone := actionsByInstance(t, frames(instance))
 		if !slices.Equal(together[fmt.Sprint(instance)], alone[fmt.Sprint(instance)]) {
-			t.Errorf("instance %d acts otherwise in company", instance)
+			t.Errorf("instance %d acts differently when it shares the process", instance)
 		}
 		if len(alone[fmt.Sprint(instance)]) < 50 {
-			t.Errorf("instance %d did only %d things", instance, len(alone[fmt.Sprint(instance)]))
+			t.Errorf("instance %d produced only %d actions", instance, len(alone[fmt.Sprint(instance)]))
 		}
 	}
 }
@@ -68,7 +68,7 @@
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if lines[0] != "eor 1" || lines[len(lines)-2] != "eor 2" || lines[len(lines)-1] != "eor 3" {
-		t.Errorf("replies: %q", lines)
+		t.Errorf("unexpected replies: %q", lines)
 	}
 }
 
@@ -85,7 +85,8 @@
 	}
 }
 
-// A fleet of a thousand endpoints changes nothing in how bad input is met.
+// TestThousandEndpoints checks that with a list of a thousand endpoints too, unexpected events do no harm and malformed
+// input ends with an error of one line.
 func TestThousandEndpoints(t *testing.T) {
 	var b strings.Builder
 	fmt.Fprint(&b, "frame 1 1\nregister 0 1000\n")
@@ -96,13 +97,13 @@
 	start := b.String()
 	unexpected := start + "frame 2 2\nreply 0 nobody 1 100 0 completed 0.1 - -\ndue 0 9\ncall 0 rq 0 8 0 - - 0 499 - 0\neob\n"
 	if got := actionsByInstance(t, unexpected)["0"]; !slices.ContainsFunc(got, func(line string) bool { return strings.HasPrefix(line, "call_out 0 rq ") }) {
-		t.Errorf("after events that nothing called for: %v", got)
+		t.Errorf("after unexpected events: got %v, want a call_out for rq", got)
 	}
 	for _, bad := range []string{"frame x 2\neob\n", "frame 2 2\ncall 0\neob\n", "frame 2 2\nnonsense 0\neob\n"} {
 		var out bytes.Buffer
 		err := run(strings.NewReader(start+bad), &out)
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: error %v, want one plain line", bad, err)
+			t.Errorf("%q: got %v, want an error of one line", bad, err)
 		}
 	}
 }
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,5 +1,5 @@
-// Command soak plays random faults against real senders on loopback and judges what was seen by the rules of the
-// protocol. It exits with 1 if any rule was broken.
+// Command soak runs real senders on loopback under random faults and checks what clients, endpoints and discovery recorded
+// against the rules of the protocol. It exits with status 1 if any rule was broken.
 package main
 
 import (
@@ -14,14 +14,14 @@
 )
 
 func main() {
-	program := flag.String("program", "bin/cometrack", "path of the sender")
+	program := flag.String("program", "bin/cometrack", "path of the sender's binary")
 	seed := flag.Uint64("seed", 1, "the first seed")
-	count := flag.Int("seeds", 1, "how many seeds, one after the other")
-	senders := flag.Int("senders", 12, "real processes, 1 to 40")
-	named := flag.Int("named", 0, "senders that the settings name; 0 for as many as there are")
-	span := flag.Duration("span", 15*time.Second, "for which faults begin")
-	onRequest := flag.Bool("on-request", false, "the list comes only on request")
-	dir := flag.String("dir", "logs/soak", "for folders and logs")
+	count := flag.Int("seeds", 1, "number of seeds, run one after the other")
+	senders := flag.Int("senders", 12, "senders that run as real processes, 1 to 40")
+	named := flag.Int("named", 0, "number of senders in the settings; 0 for the number of real ones")
+	span := flag.Duration("span", 15*time.Second, "time within which faults begin")
+	onRequest := flag.Bool("on-request", false, "senders get the list only on request")
+	dir := flag.String("dir", "logs/soak", "directory for state and logs")
 	verbose := flag.Bool("v", false, "print each fault")
 	flag.Parse()
 	violations := 0
--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -8,41 +8,41 @@
 	"crossdeal/internal/scale/standin"
 )
 
-// Change is what a sender's agent learned of an endpoint.
+// Change is a change to an endpoint's list entry, as a sender's agent learned it.
 type Change struct {
 	Endpoint  string
 	Lifecycle string
-	KnownAt   time.Time // when the agent had it
+	KnownAt   time.Time // when the agent learned of it
 }
 
-// Notice is the end of a message as the platform heard of it.
+// Notice is the notice of a message's end, as the platform received it.
 type Notice struct {
 	ID    string
 	State string
 	At    time.Time
 }
 
-// agent is discovery's agent on a sender's machine: it has the list, and takes notices. While discovery is down it is
-// silent and learns nothing.
+// agent is the discovery agent on a sender's machine: it serves the list and receives notices. While it cannot reach
+// discovery, it answers nothing and learns nothing.
 type agent struct {
 	mu             sync.Mutex
 	discovery      *standin.Discovery
 	listener       net.Listener
-	rows           []standin.Row // as the agent knows them
+	rows           []standin.Row // the list as the agent knows it
 	changes        []Change
 	notices        []Notice
-	watchLosses    []time.Time // when all open watches fell silent
-	addressChanges []time.Time // when the sender was told of another address
+	watchLosses    []time.Time // when all open watches became unresponsive
+	addressChanges []time.Time // when discovery moved to another address
 	faults         []discoveryFault
 	unreachable    bool
-	pendingRows    []standin.Row // what it will learn once discovery is back
+	pendingRows    []standin.Row // changes that it learns once discovery is reachable
 }
 
-// discoveryFault is a time in which calls for the list went wrong.
+// discoveryFault is a period in which calls for the list failed.
 type discoveryFault struct {
 	kind      standin.Trouble
 	startedAt time.Time
-	endedAt   time.Time // zero while it lasts
+	endedAt   time.Time // zero while the fault lasts
 }
 
 func startAgent(rows []standin.Row) (*agent, error) {
@@ -50,7 +50,7 @@
 	return a, a.open(1)
 }
 
-// open serves the list as the agent knows it on a new address, from some generation on.
+// open serves the list as the agent knows it on a new address. Its generations begin at the one given.
 func (a *agent) open(generation int64) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -74,7 +74,7 @@
 	a.notices = append(a.notices, Notice{id, state, time.Now()})
 }
 
-// update has the agent know a change, at once or when discovery is back.
+// update passes a change to the agent, at once or when discovery is reachable again.
 func (a *agent) update(row standin.Row) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -85,7 +85,7 @@
 	a.apply(row)
 }
 
-// apply takes a change in. The caller holds a.mu.
+// apply records a change and serves it. The caller holds a.mu.
 func (a *agent) apply(row standin.Row) {
 	known := false
 	for i := range a.rows {
@@ -100,7 +100,7 @@
 	a.discovery.Set(row)
 }
 
-// beginFault has calls for the list go wrong from now on, until heal.
+// beginFault makes calls for the list fail from now on, until endFaults.
 func (a *agent) beginFault(kind standin.Trouble) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -111,7 +111,7 @@
 	a.discovery.Now(kind, 0)
 }
 
-// endFaults ends what spoil began.
+// endFaults ends the faults that beginFault began.
 func (a *agent) endFaults() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -128,7 +128,7 @@
 	a.pendingRows = nil
 }
 
-// stallWatches lets all open watches fall silent.
+// stallWatches makes all open watches unresponsive.
 func (a *agent) stallWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -136,8 +136,8 @@
 	a.discovery.Lose()
 }
 
-// moveAddress opens another address with generations of its own; the old one takes no new connections and closes its open ones
-// after a while.
+// moveAddress opens another address with its own generations. The old address accepts no new connections, and closes the
+// open ones after linger.
 func (a *agent) moveAddress(generation int64, linger time.Duration) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -15,57 +15,58 @@
 	"crossdeal/internal/scale/standin"
 )
 
-// answerTimeout is how long a client waits for the answer to a request.
+// answerTimeout is how long a client waits for a connection and for the answer to a request.
 const answerTimeout = 400 * time.Millisecond
 
 const (
-	maxPipelined  = 6                // requests that some clients send in one write
-	minIdleBurst  = 60               // idle connections that come at once
-	maxIdleBurst  = 300              // more than a sender's table holds
-	maxIdleTime   = 20 * time.Second // for which a client rests on a connection until the sender ends it
+	maxPipelined  = 6                // requests in one write
+	minIdleBurst  = 60               // idle connections opened at once
+	maxIdleBurst  = 300              // more than a sender's connection table holds
+	maxIdleTime   = 20 * time.Second // a client waits at most this long for the sender to close an idle connection
 	maxSplitPause = 5 * time.Millisecond
 )
 
-// connectionPattern is how a client uses its connections.
+// connectionPattern is the way in which a client uses its connections.
 type connectionPattern int
 
 const (
-	patternPlain       connectionPattern = iota // one or some requests, then a pause
-	patternBusy                                 // hardly a pause
-	patternIdle                                 // one request, then none until the sender ends the connection: the next crosses that
-	patternSplitWrites                          // requests in two writes, whole ones before half of one
-	patternHalfClose                            // ends its sending behind its requests, and reads the answers
+	patternPlain       connectionPattern = iota // one or several requests, then a pause
+	patternBusy                                 // as patternPlain, with very short pauses
+	patternIdle                                 // idle until the sender closes; the next request crosses the close
+	patternSplitWrites                          // requests in two writes, the first often ends in the middle of one
+	patternHalfClose                            // shuts down its sending side after its requests, and reads the answers
 )
 
-// Request is a message as the client that handed it in saw it.
+// Request is a message as its client saw it.
 type Request struct {
 	ID           string
 	Sender       int
 	Class        string
 	Destination  int64
-	SentAt       time.Time     // its last byte was written
-	TimeLimit    time.Duration // for which it may be delivered
-	Answer       string        // line that came back, with its end; empty if none came
+	SentAt       time.Time     // when its last byte was written
+	TimeLimit    time.Duration // within which it may be delivered
+	Answer       string        // answer line with its line end; empty if none was received
 	AnsweredAt   time.Time
-	ClosedAt     time.Time // its connection was ended with no answer; zero if it was not
-	ReadBySender bool      // and the sender had read all of it
-	TimedOut     bool      // the client stopped waiting
+	ClosedAt     time.Time // when its connection was closed without an answer; zero if it was not
+	ReadBySender bool      // ClosedAt is set, and the sender had read the whole request
+	TimedOut     bool      // the client stopped waiting for the answer
 }
 
-// Accepted says whether the sender owes the message its end, and the client knows.
+// Accepted reports whether the client received the answer that the message was accepted. The sender must then bring the
+// message to an end.
 func (r *Request) Accepted() bool { return strings.HasPrefix(r.Answer, "+") }
 
-// Refused says whether the client knows that the message was not accepted.
+// Refused reports whether the client received the answer that the message was not accepted.
 func (r *Request) Refused() bool { return strings.HasPrefix(r.Answer, "-") }
 
-// requestLog keeps what clients handed in.
+// requestLog keeps the requests of all clients.
 type requestLog struct {
 	mu         sync.Mutex
 	all        []*Request
 	endedConns []endedConn
 }
 
-// endedConn is a connection that a sender has ended before it had answered all requests.
+// endedConn is a connection that a sender closed before it had answered all requests.
 type endedConn struct {
 	net.Conn
 	unanswered []*Request
@@ -83,8 +84,8 @@
 	l.endedConns = append(l.endedConns, endedConn{conn, unanswered})
 }
 
-// markReadRequests finds out which unanswered requests their senders had read. All senders must have ended: what one that is held
-// up has not closed yet would look as if it were read.
+// markReadRequests sets ReadBySender of the unanswered requests. All senders must have exited: a connection that a
+// suspended sender has not closed yet would look as if all of it had been read.
 func (l *requestLog) markReadRequests() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +99,7 @@
 	l.endedConns = nil
 }
 
-// client hands messages to one sender, one at a time, until stop is closed.
+// client sends messages to one sender over one connection at a time, until stop is closed.
 type client struct {
 	name     string
 	sender   int
@@ -114,12 +115,12 @@
 	lastNumber int
 }
 
-// workload is what clients hand in.
+// workload describes the messages of a client.
 type workload struct {
 	classes      []string
 	destinations int64
-	meanPause    time.Duration // mean, between two messages of a client
-	minTime      time.Duration // of the time that a message has
+	meanPause    time.Duration // between two messages or groups of messages
+	minTime      time.Duration // bounds of a message's time limit
 	maxTime      time.Duration
 }
 
@@ -144,7 +145,7 @@
 	}
 }
 
-// idleUntilClosed waits until the sender ends the connection, and hands a message in at that moment.
+// idleUntilClosed waits until the sender closes the connection, and sends a message at that moment.
 func (c *client) idleUntilClosed() {
 	c.conn.SetReadDeadline(time.Now().Add(time.Duration(c.rng.Int64N(int64(maxIdleTime)))))
 	if _, err := c.reader.Peek(1); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -169,7 +170,7 @@
 	}
 }
 
-// send hands messages in, one behind the other in one write, and notes what became of each.
+// send sends messages, pipelined in one write, and records the outcome of each.
 func (c *client) send(count int) {
 	var sent []*Request
 	var text strings.Builder
@@ -217,7 +218,7 @@
 		Class: c.workload.classes[c.rng.IntN(len(c.workload.classes))], Destination: c.rng.Int64N(c.workload.destinations)}
 }
 
-// encode is the request as it is written.
+// encode returns the request as it is sent.
 func (r *Request) encode() string {
 	options := fmt.Sprintf("c=%s,d=%d,dest=%d", r.Class, r.TimeLimit.Milliseconds(), r.Destination)
 	return encodeCommand("MSG.PUT", "0000", r.ID, options, r.body())
@@ -225,7 +226,7 @@
 
 func (r *Request) body() string { return "body of " + r.ID }
 
-// write sends a text as the client's habit has it.
+// write sends a text in the way of the client's connection pattern.
 func (c *client) write(text string) error {
 	if c.pattern == patternSplitWrites {
 		split := 1 + c.rng.IntN(len(text)-1)
@@ -253,7 +254,7 @@
 	return err
 }
 
-// encodeCommand is a request in RESP2.
+// encodeCommand encodes a request in RESP2.
 func encodeCommand(words ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(words))
@@ -263,7 +264,7 @@
 	return b.String()
 }
 
-// holdIdleConnections opens idle connections and holds them for a while.
+// holdIdleConnections opens idle connections and keeps them open for a duration.
 func holdIdleConnections(address string, count int, duration time.Duration) {
 	var conns []net.Conn
 	for range count {
@@ -277,7 +278,7 @@
 	}
 }
 
-// runBadClient connects and sends what is no proper request, or none.
+// runBadClient connects and sends nothing, an HTTP request, part of a request, or a request of an unknown class.
 func runBadClient(address string, rng *rand.Rand) {
 	conn, err := net.DialTimeout("tcp", address, answerTimeout)
 	if err != nil {
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,5 +1,7 @@
-// Package soak runs real senders on loopback under random faults that overlap in time, and judges what clients, endpoints
-// and discovery saw by the rules of the protocol. A seed decides all that is random, but not how the machine schedules.
+// Package soak runs real sender processes on loopback under random, overlapping faults, and checks what clients,
+// endpoints and discovery recorded against the rules of the protocol. The seed determines all random choices, but not
+// how the machine schedules the processes.
 //
-// World holds the processes and stand-ins of one run; Plan draws its faults; the judge reads the records afterwards.
+// Harness holds the processes and stand-ins of one run, Plan draws the faults, and the checks read the records
+// afterwards.
 package soak
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -10,50 +10,50 @@
 	"time"
 )
 
-// Behaviour is what an endpoint does with the calls that come to it.
+// Behaviour is the way in which an endpoint handles calls.
 type Behaviour int
 
 // The behaviours of an endpoint.
 const (
-	Healthy          Behaviour = iota // 200 after a moment
-	Slow                              // 200 after some hundred milliseconds
+	Healthy          Behaviour = iota // 200 after healthyDelay
+	Slow                              // 200 after slowDelay
 	Hang                              // no answer
-	HangMidAnswer                     // an answer that stops after half of its head
+	HangMidAnswer                     // an answer that stops in the middle of its status line
 	Fail                              // 500
-	Reject                            // 503 with neither a wait nor a report
-	RejectRetryAfter                  // 429 with a time to come back
-	ResetCall                         // the connection breaks under the call; it may have run
-	LoseAnswer                        // it has run, and the connection breaks before the answer
-	MalformedAnswer                   // an answer that cannot be read
-	CloseAfterAnswer                  // 200, and the connection is closed without a word
-	behaviourCount                    // the number of them
+	Reject                            // 503 with neither a retry-after nor a load report
+	RejectRetryAfter                  // 429 with a retry-after
+	ResetCall                         // the connection is reset during the call, which may have run
+	LoseAnswer                        // the call has run, and the connection is reset before the answer
+	MalformedAnswer                   // an answer that cannot be parsed
+	CloseAfterAnswer                  // 200, and the connection is closed without announcing it
+	behaviourCount                    // number of behaviours
 )
 
-var behaviourNames = [...]string{"healthy", "slow", "hang", "hang midway", "fail", "reject", "reject with a wait", "reset",
-	"lose answers", "garble", "close behind"}
+var behaviourNames = [...]string{"healthy", "slow", "hang", "hang in mid-answer", "fail", "reject", "reject with a retry-after", "reset",
+	"lose answers", "garble", "close after the answer"}
 
 func (b Behaviour) String() string { return behaviourNames[b] }
 
-// Call is one call as its endpoint saw it.
+// Call is a call as its endpoint saw it.
 type Call struct {
 	ID          string
 	Endpoint    string
 	Destination int64
-	FirstByteAt time.Time // its first byte came
-	LastByteAt  time.Time // its last byte came
-	EndedAt     time.Time // its answer was written or its connection ended; zero while it is open
-	MayHaveRun  bool      // false: it was turned away unseen
+	FirstByteAt time.Time // when its first byte arrived
+	LastByteAt  time.Time // when its last byte arrived
+	EndedAt     time.Time // when its answer was written or its connection ended; zero while it is open
+	MayHaveRun  bool      // false if it was rejected without being run
 	Succeeded   bool      // 200 was written
 	Body        string
-	RetryAfter  time.Duration // told by its answer, from End on
+	RetryAfter  time.Duration // the wait that its answer asks for, counted from EndedAt
 }
 
-// endpoint is a stand-in of one endpoint.
+// endpoint is a stand-in for one endpoint.
 type endpoint struct {
 	id          string
 	destination int64
 	listener    net.Listener
-	retryAfter  time.Duration // that RejectWait asks for
+	retryAfter  time.Duration // that RejectRetryAfter asks for
 
 	mu        sync.Mutex
 	behaviour Behaviour
@@ -80,14 +80,14 @@
 
 func (e *endpoint) address() string { return e.listener.Addr().String() }
 
-// setBehaviour changes what happens to calls from now on.
+// setBehaviour sets the behaviour for calls that arrive from now on.
 func (e *endpoint) setBehaviour(behaviour Behaviour) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.behaviour = behaviour
 }
 
-// resetConnections breaks all connections, as an endpoint that forgets them does.
+// resetConnections resets all connections, as an endpoint does that has lost its connection state.
 func (e *endpoint) resetConnections() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -104,7 +104,7 @@
 	e.resetConnections()
 }
 
-// recordedCalls copies the calls so far.
+// recordedCalls returns copies of the calls so far.
 func (e *endpoint) recordedCalls() []Call {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -165,14 +165,14 @@
 	}
 }
 
-// recordEnd notes how a call ended.
+// recordEnd records how a call ended.
 func (e *endpoint) recordEnd(call *Call, mayHaveRun, succeeded bool, retryAfter time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	call.EndedAt, call.MayHaveRun, call.Succeeded, call.RetryAfter = time.Now(), mayHaveRun, succeeded, retryAfter
 }
 
-// respond does with a call what the behaviour says; false ends the connection.
+// respond handles a call according to the behaviour. If it returns false, the connection is closed.
 func (e *endpoint) respond(conn net.Conn, reader *bufio.Reader, call *Call, behaviour Behaviour) bool {
 	switch behaviour {
 	case Hang:
@@ -212,7 +212,7 @@
 	if behaviour == Slow {
 		delay = slowDelay
 	}
-	if e.waitForClose(conn, reader, delay) { // called off: it may have run all the same
+	if e.waitForClose(conn, reader, delay) { // cancelled by the sender: the call may have run all the same
 		e.recordEnd(call, true, false, 0)
 		return false
 	}
@@ -220,13 +220,13 @@
 	return writeResponse(conn, "200 x", "") && behaviour != CloseAfterAnswer
 }
 
-// waitForClose waits for a span, or until the caller ends its side, which it says.
+// waitForClose waits up to limit for the caller to close its side, and reports whether it did.
 func (e *endpoint) waitForClose(conn net.Conn, reader *bufio.Reader, limit time.Duration) (closed bool) {
 	conn.SetReadDeadline(time.Now().Add(limit))
 	_, err := reader.Peek(1)
 	conn.SetReadDeadline(time.Time{})
 	if err == nil {
-		return false // the next call on a connection with an answer due: the judge sees it
+		return false // the next call arrives before this one is answered; the checks report it
 	}
 	timeout, ok := err.(net.Error)
 	return !ok || !timeout.Timeout()
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -13,24 +13,26 @@
 	"crossdeal/internal/scale/standin"
 )
 
-// Report is what the judge found in a run.
+// Report is the result of a run's checks.
 type Report struct {
-	Seed            uint64
-	Requests        int
-	Accepted        int
-	Delivered       int
-	Calls           int
-	ClientTimeouts  int      // clients that had no answer in time
-	TimedOutSent    int      // of those, messages that were sent all the same
-	CrossedClose    int      // requests that were not answered since their connections were reset
-	LateEnds        int      // messages that ended, but later than they had to
-	UninformedCalls int      // calls to what drained while no process lived, whose agent then was silent until after the call
-	Violations      []string // a line each
+	Seed           uint64
+	Requests       int
+	Accepted       int
+	Delivered      int
+	Calls          int
+	ClientTimeouts int // requests whose client had no answer in time
+	TimedOutSent   int // of those, messages that were sent to an endpoint all the same
+	CrossedClose   int // requests without an answer that crossed their sender's close of the connection, unread
+	LateEnds       int // messages that ended later than due, but not so late that they count as lost
+	// UninformedCalls counts calls to endpoints that drained while no process ran, with the agent unresponsive from before
+	// the next start until after the call.
+	UninformedCalls int
+	Violations      []string // one line each
 }
 
 func (r *Report) String() string {
-	return fmt.Sprintf("seed %d: %d requests, %d accepted, %d delivered, %d calls, %d clients gave up (%d of their messages sent), "+
-		"%d requests crossed a close, %d late ends, %d calls that could not know better, %d violations", r.Seed, r.Requests, r.Accepted,
+	return fmt.Sprintf("seed %d: %d requests, %d accepted, %d delivered, %d calls, %d client timeouts (%d of their messages sent), "+
+		"%d requests crossed a close, %d late ends, %d calls before the sender could learn of a drain, %d violations", r.Seed, r.Requests, r.Accepted,
 		r.Delivered, r.Calls, r.ClientTimeouts, r.TimedOutSent, r.CrossedClose, r.LateEnds, r.UninformedCalls, len(r.Violations))
 }
 
@@ -38,28 +40,28 @@
 	r.Violations = append(r.Violations, rule+": "+fmt.Sprintf(format, args...))
 }
 
-// What the protocol allows beyond each limit, and what this machine may add to that.
+// Tolerances that the protocol allows beyond each limit, and that scheduling on this machine may add.
 const (
 	limitSlack          = 50 * time.Millisecond
 	machineSlack        = 150 * time.Millisecond
-	endSlack            = 300 * time.Millisecond  // for the end of a message after its time
-	restartSlack        = 1500 * time.Millisecond // for an end after the next start is ready
-	lostAfter           = 500 * time.Millisecond  // an end that comes later is none
-	watchReconnectSlack = 400 * time.Millisecond  // for an agent that is back to be heard
-	retryAfterSlack     = 100 * time.Millisecond  // calls that cross the answer with a wait
-	watchUpdateLimit    = 6 * time.Second         // after a watch fell silent, or discovery had a change and could be reached
+	endSlack            = 300 * time.Millisecond  // for the end of a message after its deadline
+	restartSlack        = 1500 * time.Millisecond // for the end of a message after the next process is ready
+	lostAfter           = 500 * time.Millisecond  // a message that ends later than this after it was due counts as lost
+	watchReconnectSlack = 400 * time.Millisecond  // for the answers of an agent that responds again to arrive
+	retryAfterSlack     = 100 * time.Millisecond  // for calls that cross the answer with the retry-after
+	watchUpdateLimit    = 6 * time.Second         // after a watch became unresponsive, or discovery had a change and was reachable
 	moveUpdateLimit     = 4 * time.Second         // after SIGHUP
-	maxLongPoll         = 13 * time.Second        // the longest wait of a watch, where lists come on request
+	maxLongPoll         = 13 * time.Second        // the longest wait of a watch when the list comes on request
 )
 
-// message is all that is known of one message.
+// message holds all records of one message.
 type message struct {
 	*Request
 	calls   []Call
 	notices []Notice
 }
 
-// check reads the records of a run.
+// check checks the records of a run; failures are the errors of its faults.
 func (h *Harness) check(failures []string) *Report {
 	report := &Report{Seed: h.cfg.Seed}
 	for _, f := range failures {
@@ -81,7 +83,7 @@
 	return report
 }
 
-// groupRecords puts the records together by message.
+// groupRecords groups the records by message and counts requests and calls.
 func (h *Harness) groupRecords(report *Report) map[string]*message {
 	messages := map[string]*message{}
 	h.requests.mu.Lock()
@@ -102,7 +104,7 @@
 			if m := messages[c.ID]; m != nil {
 				m.calls = append(m.calls, c)
 			} else if !strings.HasPrefix(c.ID, "m") {
-				report.addViolation("unknown", "%s got message %q, which no client handed in", c.Endpoint, c.ID)
+				report.addViolation("unknown", "%s got message %q, which no client sent", c.Endpoint, c.ID)
 			}
 		}
 	}
@@ -121,7 +123,7 @@
 	return messages
 }
 
-// checkProcesses looks at how a sender's processes ended, and at what they said themselves.
+// checkProcesses checks how a sender's processes ended, and reports the rule violations and crashes in their logs.
 func (h *Harness) checkProcesses(report *Report, sender *managedSender) {
 	for _, run := range sender.history() {
 		for _, line := range run.BadLines {
@@ -131,14 +133,14 @@
 		case run.EndedAt.IsZero():
 			report.addViolation("crash", "%s never ended", sender.name)
 		case run.TerminatedAt.IsZero() && run.KilledAt.IsZero():
-			report.addViolation("crash", "%s ended by itself: %v", sender.name, run.Err)
+			report.addViolation("crash", "%s exited before it was stopped: %v", sender.name, run.Err)
 		case run.Err != nil && run.KilledAt.IsZero() && !(run.ReadyAt.IsZero() && endedBySignal(run.Err)):
 			report.addViolation("crash", "%s: %v", sender.name, run.Err)
 		}
 	}
 }
 
-// endedBySignal says whether a process was ended by a signal that it had not begun to handle.
+// endedBySignal reports whether SIGTERM ended a process that did not handle the signal yet.
 func endedBySignal(err error) bool {
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) {
@@ -148,7 +150,7 @@
 	return ok && status.Signaled() && status.Signal() == syscall.SIGTERM
 }
 
-// senderKnowsAt is when a change counts as told to a sender.
+// senderKnowsAt returns the time from which a change counts as known to a sender.
 func (h *Harness) senderKnowsAt(sender int, c Change) time.Time {
 	a := h.senders[sender].agent
 	knownAt := c.KnownAt
@@ -156,7 +158,7 @@
 		knownAt = knownAt.Add(watchUpdateLimit)
 	}
 	detection := watchUpdateLimit
-	if !h.cfg.Pushed { // 2 s after the wait of a long poll is over, which may have begun just then
+	if !h.cfg.Pushed { // 2 s after the end of a long poll, whose wait may have begun just before the loss
 		detection = maxLongPoll + 2*time.Second
 	}
 	for _, lostAt := range a.watchLosses {
@@ -168,7 +170,7 @@
 		unreachable := fault.kind == standin.Refuse || !h.cfg.Pushed
 		if unreachable && knownAt.After(fault.startedAt) && c.KnownAt.Before(fault.endedAt.Add(detection)) {
 			until := fault.endedAt
-			if !h.cfg.Pushed { // a watch that began in a silence has its wait before it
+			if !h.cfg.Pushed { // a watch that began during the fault first waits for its whole long poll
 				until = until.Add(detection)
 			}
 			knownAt = latest(knownAt, until)
@@ -189,7 +191,7 @@
 	return b
 }
 
-// checkDrain looks for calls to what drains or is gone, past the grace.
+// checkDrain looks for calls to endpoints that drain or are removed, after the grace has ended.
 func (h *Harness) checkDrain(report *Report, m *message) {
 	for _, c := range m.calls {
 		for _, change := range h.senders[m.Sender].agent.changes {
@@ -203,7 +205,7 @@
 			case h.couldNotKnow(m.Sender, change, c.FirstByteAt):
 				report.UninformedCalls++
 			default:
-				report.addViolation("drain", "n%d sent %s to %s %v past the grace of %v (%s, told at %s)", m.Sender, c.ID, c.Endpoint, late,
+				report.addViolation("drain", "n%d sent %s to %s, %v after the grace of %v ended (%s, known at %s)", m.Sender, c.ID, c.Endpoint, late,
 					h.drainGrace, change.Lifecycle, knownAt.Format(clockFormat))
 			}
 			break
@@ -211,11 +213,11 @@
 	}
 }
 
-// checkDestinationAndBody looks for calls to another destination than the message's, or with another body.
+// checkDestinationAndBody looks for calls whose destination or body is not the message's.
 func checkDestinationAndBody(report *Report, m *message) {
 	for _, c := range m.calls {
 		if c.Destination != m.Destination {
-			report.addViolation("destination", "%s for destination %d was sent to %s of %d", m.ID, m.Destination, c.Endpoint, c.Destination)
+			report.addViolation("destination", "%s for destination %d was sent to %s of destination %d", m.ID, m.Destination, c.Endpoint, c.Destination)
 		}
 		if c.Body != m.body() {
 			report.addViolation("body", "%s was sent to %s with %q", m.ID, c.Endpoint, c.Body)
@@ -223,8 +225,9 @@
 	}
 }
 
-// couldNotKnow says whether a change came while no process of a sender lived, and its agent was silent from before the next
-// start until after a call. The rule counts the change as told all the same: such calls are reported on their own.
+// couldNotKnow reports whether a change arrived while no process of a sender ran, and its agent was unresponsive from
+// before the next start until after a call. The protocol's rule counts the change as known all the same, so such calls
+// are counted separately.
 func (h *Harness) couldNotKnow(sender int, change Change, calledAt time.Time) bool {
 	process := h.senders[sender]
 	for _, run := range process.history() {
@@ -245,36 +248,37 @@
 
 const clockFormat = "15:04:05.000"
 
-// checkAttempts looks for attempts that overlap, are too many, or repeat what may have run against its class.
+// checkAttempts looks for too many attempts, attempts of refused messages or after the deadline, overlapping attempts,
+// and attempts that repeat a call that may have run where the message's class forbids it.
 func checkAttempts(report *Report, m *message) {
 	if len(m.calls) > maxAttempts {
 		report.addViolation("attempts", "%s was sent %d times", m.ID, len(m.calls))
 	}
 	if len(m.calls) > 0 && m.Refused() {
-		report.addViolation("refused", "%s was answered %q and sent to %s", m.ID, m.Answer, m.calls[0].Endpoint)
+		report.addViolation("refused", "%s was answered %q but sent to %s", m.ID, m.Answer, m.calls[0].Endpoint)
 	}
 	for i, c := range m.calls {
 		due := m.SentAt.Add(m.TimeLimit)
-		if !m.AnsweredAt.IsZero() { // the sender counts from when it reads the request, which is before its answer
+		if !m.AnsweredAt.IsZero() { // the sender counts from reading the request, which precedes its answer
 			due = m.AnsweredAt.Add(m.TimeLimit)
 		}
 		if !m.TimedOut && c.FirstByteAt.After(due.Add(limitSlack+machineSlack)) {
-			report.addViolation("deadline", "%s was sent %v after its time", m.ID, c.FirstByteAt.Sub(due))
+			report.addViolation("deadline", "%s was sent %v after its deadline", m.ID, c.FirstByteAt.Sub(due))
 		}
 		for _, earlier := range m.calls[:i] {
 			if earlier.EndedAt.IsZero() || c.LastByteAt.Before(earlier.EndedAt.Add(-limitSlack)) {
-				report.addViolation("overlap", "%s was sent to %s with a call out at %s", m.ID, c.Endpoint, earlier.Endpoint)
+				report.addViolation("overlap", "%s was sent to %s while its call to %s was open", m.ID, c.Endpoint, earlier.Endpoint)
 			}
 			late := c.FirstByteAt.Sub(earlier.LastByteAt) - keyedWindow - limitSlack - machineSlack
 			if earlier.MayHaveRun && (m.Class == classUnsafe || m.Class == classKeyed && late > 0) {
-				report.addViolation("repeat", "%s (%s) may have run at %s and was sent to %s %v later", m.ID, m.Class, earlier.Endpoint,
+				report.addViolation("repeat", "%s (%s) may have run at %s but was sent to %s %v later", m.ID, m.Class, earlier.Endpoint,
 					c.Endpoint, c.FirstByteAt.Sub(earlier.LastByteAt))
 			}
 		}
 	}
 }
 
-// checkRetryAfter looks for calls to a destination that asked this sender to wait. A restart ends a wait.
+// checkRetryAfter looks for calls to a destination that has asked this sender to wait. A restart ends the wait.
 func (h *Harness) checkRetryAfter(report *Report, sender int, messages map[string]*message) {
 	var calls []Call
 	for _, m := range messages {
@@ -291,14 +295,14 @@
 		from, to := c.EndedAt.Add(retryAfterSlack+machineSlack), c.EndedAt.Add(c.RetryAfter-limitSlack)
 		for _, other := range calls {
 			if other.Destination == c.Destination && other.FirstByteAt.After(from) && other.FirstByteAt.Before(to) && sameProcess(runs, c.EndedAt, other.FirstByteAt) {
-				report.addViolation("wait", "n%d was told by %s to wait %v and sent %s to %s %v later", sender, c.Endpoint, c.RetryAfter, other.ID,
+				report.addViolation("wait", "n%d was asked by %s to wait %v but sent %s to %s %v later", sender, c.Endpoint, c.RetryAfter, other.ID,
 					other.Endpoint, other.FirstByteAt.Sub(c.EndedAt))
 			}
 		}
 	}
 }
 
-// sameProcess says whether one process lived at both times.
+// sameProcess reports whether one process ran at both times.
 func sameProcess(runs []processRun, a, b time.Time) bool {
 	for _, run := range runs {
 		if run.StartedAt.Before(a) && (run.EndedAt.IsZero() || run.EndedAt.After(b)) {
@@ -308,10 +312,10 @@
 	return false
 }
 
-// validAnswers are the answers that the protocol has for a request in good form.
+// validAnswers matches the answers that the protocol has for a well-formed request.
 var validAnswers = regexp.MustCompile(`^(\+OK|-BUSY( [0-9]+)?|-ERR failed)\r\n$`)
 
-// checkAnswer looks for requests without an answer that their sender had read or taken, and for answers that are none.
+// checkAnswer looks for malformed answers, and for requests without an answer that their sender had read or processed.
 func (h *Harness) checkAnswer(report *Report, m *message) {
 	runs := h.senders[m.Sender].history()
 	switch {
@@ -323,28 +327,29 @@
 		if len(m.calls) > 0 {
 			report.TimedOutSent++
 		}
-	case killedNear(runs, m.ClosedAt): // what it had not answered then is cut off
+	case killedNear(runs, m.ClosedAt): // a killed process leaves requests unanswered
 	case m.ReadBySender:
-		report.addViolation("answer", "%s was read by n%d and its connection closed with no answer at %s", m.ID, m.Sender, m.ClosedAt.Format(clockFormat))
+		report.addViolation("answer", "%s was read by n%d, but its connection was closed without an answer at %s", m.ID, m.Sender, m.ClosedAt.Format(clockFormat))
 	case len(m.calls)+len(m.notices) > 0:
-		report.addViolation("answer", "%s was taken by n%d and its connection closed with no answer at %s", m.ID, m.Sender, m.ClosedAt.Format(clockFormat))
+		report.addViolation("answer", "%s was processed by n%d, but its connection was closed without an answer at %s", m.ID, m.Sender, m.ClosedAt.Format(clockFormat))
 	default:
 		report.CrossedClose++
 	}
 }
 
-// checkAfterNotice looks for calls that come after the notice of their message's end.
+// checkAfterNotice looks for calls that arrive after the notice of their message's end.
 func checkAfterNotice(report *Report, m *message) {
 	for _, n := range m.notices {
 		for _, c := range m.calls {
 			if late := c.FirstByteAt.Sub(n.At); late > limitSlack+machineSlack {
-				report.addViolation("ended", "%s was sent to %s %v after its notice (%s)", m.ID, c.Endpoint, late, n.State)
+				report.addViolation("ended", "%s was sent to %s %v after the notice of its end (%s)", m.ID, c.Endpoint, late, n.State)
 			}
 		}
 	}
 }
 
-// checkEnd looks for accepted messages without an end, and for ends that contradict each other or the client's answer.
+// checkEnd looks for accepted messages without an end in time, for messages that were returned though they may have
+// run, and for calls after the notice of the end.
 func (h *Harness) checkEnd(report *Report, m *message) {
 	deliveredAt, mayHaveRun := time.Time{}, false
 	for _, c := range m.calls {
@@ -358,7 +363,7 @@
 	}
 	for _, n := range m.notices {
 		if n.State == "returned" && mayHaveRun && m.Class != classSafe {
-			report.addViolation("returned", "%s (%s) may have run and was returned", m.ID, m.Class)
+			report.addViolation("returned", "%s (%s) may have run but was returned", m.ID, m.Class)
 		}
 	}
 	checkAfterNotice(report, m)
@@ -380,9 +385,9 @@
 	}
 	switch late := endedAt.Sub(due); {
 	case endedAt.IsZero():
-		report.addViolation("lost", "%s (%s, n%d, due %s) has no end after %d calls", m.ID, m.Class, m.Sender, due.Format(clockFormat), len(m.calls))
+		report.addViolation("lost", "%s (%s, n%d, due %s) has not ended after %d calls", m.ID, m.Class, m.Sender, due.Format(clockFormat), len(m.calls))
 	case late > lostAfter+machineSlack:
-		report.addViolation("lost", "%s ended %v after it had to", m.ID, late)
+		report.addViolation("lost", "%s ended %v after it was due", m.ID, late)
 	case late > limitSlack+machineSlack:
 		report.LateEnds++
 	}
@@ -395,7 +400,8 @@
 	return a
 }
 
-// nextReady is when a process was ready first after a time; that time if none was.
+// nextReady returns when the first process that started after a time and became ready was ready, or that time if there is
+// none.
 func nextReady(runs []processRun, after time.Time) time.Time {
 	for _, run := range runs {
 		if run.StartedAt.After(after) && !run.ReadyAt.IsZero() {
@@ -405,7 +411,7 @@
 	return after
 }
 
-// killedNear says whether a process was killed about a time.
+// killedNear reports whether a process was killed within margin of a time.
 func killedNear(runs []processRun, at time.Time) bool {
 	const margin = 500 * time.Millisecond
 	return slices.ContainsFunc(runs, func(run processRun) bool {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -10,15 +10,15 @@
 	"crossdeal/internal/scale/standin"
 )
 
-// timedAction is one fault, or the end of one, at a time after the begin.
+// timedAction begins or ends a fault at an offset from the start of the run.
 type timedAction struct {
 	offset      time.Duration
 	description string
 	run         func() error
 }
 
-// Plan is the faults of a run, drawn from its seed. They overlap: each is drawn without regard to the others, but what is
-// done to one sender's process is done one after the other.
+// Plan holds the faults of a run, drawn from its seed. Faults are drawn independently and so overlap, but those of one
+// sender's process run one after the other.
 type Plan struct {
 	actions []timedAction
 }
@@ -26,7 +26,7 @@
 const (
 	minFaultDuration   = 300 * time.Millisecond
 	maxFaultDuration   = 4 * time.Second
-	maxTotalSuspension = 150 * time.Millisecond // for which a sender may be held up
+	maxTotalSuspension = 150 * time.Millisecond // of a sender, in one piece or as a series
 )
 
 func newPlan(h *Harness) *Plan {
@@ -47,12 +47,12 @@
 	p.actions = append(p.actions, timedAction{offset, description, run})
 }
 
-// randomInterval draws a time within the run and how long something lasts from then on.
+// randomInterval draws a start within the fault period and the length of a fault.
 func randomInterval(h *Harness, rng *rand.Rand) (start, length time.Duration) {
 	return time.Duration(rng.Int64N(int64(h.cfg.FaultPeriod))), minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
 }
 
-// planEndpointFaults has endpoints misbehave, some of them several at once.
+// planEndpointFaults makes random sets of endpoints misbehave for a while, and single endpoints reset their connections.
 func (p *Plan) planEndpointFaults(h *Harness) {
 	for range int(h.cfg.FaultPeriod/time.Second) + 2 {
 		at, length := randomInterval(h, h.rng)
@@ -74,7 +74,7 @@
 			}
 			return nil
 		})
-		p.add(at+length, "they are healthy again", func() error {
+		p.add(at+length, "the affected endpoints are healthy again", func() error {
 			for _, e := range choose() {
 				e.setBehaviour(Healthy)
 			}
@@ -84,7 +84,7 @@
 	for range int(h.cfg.FaultPeriod / (2 * time.Second)) {
 		at, _ := randomInterval(h, h.rng)
 		random := h.rng.IntN(destinationCount * endpointsPerDestination)
-		p.add(at, "an endpoint breaks its connections", func() error {
+		p.add(at, "an endpoint resets its connections", func() error {
 			all := h.allEndpoints()
 			all[random%len(all)].resetConnections()
 			return nil
@@ -92,7 +92,7 @@
 	}
 }
 
-// planReplacements replaces endpoints: a new one comes up, an old one drains and is removed.
+// planReplacements replaces endpoints: a new one starts, and an old one drains and is removed.
 func (p *Plan) planReplacements(h *Harness) {
 	for at := time.Duration(0); at < h.cfg.FaultPeriod; at += 200*time.Millisecond + time.Duration(h.rng.Int64N(int64(2*time.Second))) {
 		random := h.rng.IntN(1 << 20)
@@ -101,7 +101,8 @@
 	}
 }
 
-// replaceEndpoint starts an endpoint in place of one that is up, which drains and is removed after a while.
+// replaceEndpoint starts a new endpoint and announces it. The endpoint that it replaces is announced as draining, and as
+// removed after removeAfter.
 func (h *Harness) replaceEndpoint(random int, removeAfter time.Duration) error {
 	h.mu.Lock()
 	i := random % len(h.upIndexes)
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// planDiscoveryFaults has calls for the list go wrong at one sender's agent, and its watches fall silent.
+// planDiscoveryFaults makes calls for the list fail at one sender's agent, and may make its open watches unresponsive.
 func (p *Plan) planDiscoveryFaults(h *Harness, sender *managedSender, rng *rand.Rand) {
 	kinds := []standin.Trouble{standin.Silent, standin.Nonsense, standin.Cut, standin.Overload, standin.Older, standin.Reset,
 		standin.Endless}
@@ -126,17 +127,17 @@
 		length := minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
 		kind := kinds[rng.IntN(len(kinds))]
 		p.add(at, fmt.Sprintf("%s: discovery %v", sender.name, kind), func() error { sender.agent.beginFault(kind); return nil })
-		p.add(at+length, fmt.Sprintf("%s: discovery is well", sender.name), func() error { sender.agent.endFaults(); return nil })
+		p.add(at+length, fmt.Sprintf("%s: discovery is healthy again", sender.name), func() error { sender.agent.endFaults(); return nil })
 		at += length + time.Duration(rng.Int64N(int64(6*time.Second)))
 	}
 	if rng.IntN(2) == 0 {
 		at, _ := randomInterval(h, rng)
-		p.add(at, sender.name+": open watches fall silent", func() error { sender.agent.stallWatches(); return nil })
+		p.add(at, sender.name+": open watches become unresponsive", func() error { sender.agent.stallWatches(); return nil })
 	}
 }
 
-// planProcessFaults restarts a sender, planned or not, with signals in series and hold-ups in its starts and ends, holds it up
-// at rest, and moves its discovery.
+// planProcessFaults restarts a sender by SIGTERM and SIGKILL, with repeated signals and with suspensions while it starts
+// and stops. It also suspends the running process, upgrades it, and moves discovery to another address.
 func (p *Plan) planProcessFaults(h *Harness, sender *managedSender, rng *rand.Rand) {
 	kinds := []processFault{killed, terminated, terminated, terminatedTwice, terminatedAtStart, hangupAroundTerm, killedAfterAnswer,
 		killedTwice, suspended, upgraded, upgraded, moved, movedTwice}
@@ -152,7 +153,7 @@
 	}
 }
 
-// planBadClients has bad clients come.
+// planBadClients connects clients that send malformed requests or none.
 func (p *Plan) planBadClients(h *Harness, sender *managedSender, rng *rand.Rand) {
 	for range 2 * int(h.cfg.FaultPeriod/time.Second) {
 		at, _ := randomInterval(h, rng)
@@ -161,16 +162,16 @@
 	}
 }
 
-// planIdleBursts has idle connections come at once, on some senders more than their tables hold.
+// planIdleBursts opens many idle connections at once, to some senders more than their connection tables hold.
 func (p *Plan) planIdleBursts(h *Harness, sender *managedSender, rng *rand.Rand) {
 	for range 1 + rng.IntN(2) {
 		at, length := randomInterval(h, rng)
 		size := minIdleBurst + rng.IntN(maxIdleBurst-minIdleBurst)
-		p.add(at, fmt.Sprintf("%s: a crowd of %d idle clients", sender.name, size), func() error { holdIdleConnections(sender.listenAddress, size, length); return nil })
+		p.add(at, fmt.Sprintf("%s: a burst of %d idle connections", sender.name, size), func() error { holdIdleConnections(sender.listenAddress, size, length); return nil })
 	}
 }
 
-// execute does each step at its time and returns the errors.
+// execute runs each action at its offset and returns the errors, one line each.
 func (h *Harness) execute(ctx context.Context, p *Plan) (failures []string) {
 	begun := time.Now()
 	var mu sync.Mutex
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -13,32 +13,32 @@
 	"time"
 )
 
-// processRun is one process of a sender.
+// processRun is the record of one process of a sender.
 type processRun struct {
 	StartedAt    time.Time
-	ReadyAt      time.Time // zero if it never was
-	TerminatedAt time.Time // SIGTERM; zero if there was none
-	KilledAt     time.Time // SIGKILL
+	ReadyAt      time.Time // zero if it never became ready
+	TerminatedAt time.Time // when SIGTERM was first sent; zero if it was not
+	KilledAt     time.Time // when SIGKILL was sent; zero if it was not
 	EndedAt      time.Time
-	Err          error    // with which it ended
-	BadLines     []string // lines of its log that say that a rule was broken, or of a crash
+	Err          error    // exit error of the process
+	BadLines     []string // log lines that report a broken rule or a crash
 }
 
-// managedSender is a sender: its processes, one after the other, share a folder and an address.
+// managedSender runs the processes of one sender, which share a directory and an address.
 type managedSender struct {
 	name          string
 	program       string
-	dir           string // holds its folder, configuration and log
+	dir           string // holds its state directory, configuration and log
 	listenAddress string
 	agent         *agent
 	makeConfig    func(discovery string) []byte
 
-	faultMu sync.Mutex // faults of the process come one after the other
+	faultMu sync.Mutex // serializes the faults of the process
 
 	mu   sync.Mutex
 	cmd  *exec.Cmd
 	runs []*processRun
-	done chan struct{} // closed when the process has ended
+	done chan struct{} // closed when the process has exited
 }
 
 const readyTimeout = 10 * time.Second
@@ -46,7 +46,7 @@
 func (s *managedSender) stateDir() string   { return filepath.Join(s.dir, "state") }
 func (s *managedSender) configPath() string { return filepath.Join(s.dir, "config.json") }
 
-// writeConfig writes the configuration with the agent's address of the moment.
+// writeConfig writes the configuration with the agent's current address.
 func (s *managedSender) writeConfig() error {
 	return os.WriteFile(s.configPath(), s.makeConfig(s.agent.address()), 0o600)
 }
@@ -54,10 +54,10 @@
 // launchedProcess is a process that has been started.
 type launchedProcess struct {
 	ready <-chan struct{} // closed once it is ready
-	ended <-chan struct{} // closed once it has ended
+	ended <-chan struct{} // closed once it has exited
 }
 
-// startAndWait begins a process and waits until it is ready.
+// startAndWait starts a process and waits until it is ready.
 func (s *managedSender) startAndWait() error {
 	launched, err := s.launch()
 	if err != nil {
@@ -67,13 +67,13 @@
 	case <-launched.ready:
 		return nil
 	case <-launched.ended:
-		return fmt.Errorf("%s ended before it was ready", s.name)
+		return fmt.Errorf("%s exited before it was ready", s.name)
 	case <-time.After(readyTimeout):
 		return fmt.Errorf("%s was not ready within %v", s.name, readyTimeout)
 	}
 }
 
-// launch starts a process.
+// launch starts a process and does not wait until it is ready.
 func (s *managedSender) launch() (*launchedProcess, error) {
 	if err := os.MkdirAll(s.stateDir(), 0o700); err != nil {
 		return nil, err
@@ -125,12 +125,12 @@
 	return &launchedProcess{ready: ready, ended: done}, nil
 }
 
-// signal sends a signal to the process of the moment and notes what ends it.
+// signal sends a signal to the current process, and records the time of SIGTERM and SIGKILL.
 func (s *managedSender) signal(sig syscall.Signal) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cmd == nil {
-		return errors.New("never started")
+		return errors.New("no process was started")
 	}
 	run := s.runs[len(s.runs)-1]
 	switch sig {
@@ -142,13 +142,13 @@
 	return s.cmd.Process.Signal(sig)
 }
 
-// kill ends the process with SIGKILL.
+// kill ends the process with SIGKILL and waits until it has exited.
 func (s *managedSender) kill() {
 	s.signal(syscall.SIGKILL)
 	<-s.done
 }
 
-// stop ends the process with SIGTERM, and SIGKILL after the time that a planned restart leaves.
+// stop ends the process with SIGTERM, and with SIGKILL if it has not exited after timeout.
 func (s *managedSender) stop(timeout time.Duration) {
 	s.signal(syscall.SIGTERM)
 	select {
@@ -158,7 +158,7 @@
 	}
 }
 
-// upgrade starts a new process beside the one that runs, and ends that one once the new one is ready.
+// upgrade starts a new process beside the running one, and stops the old one once the new one is ready.
 func (s *managedSender) upgrade(timeout time.Duration) error {
 	s.mu.Lock()
 	old, run, done := s.cmd, s.runs[len(s.runs)-1], s.done
@@ -182,7 +182,7 @@
 	return nil
 }
 
-// suspend holds the process of the moment up for a while.
+// suspend stops the current process with SIGSTOP for a duration.
 func (s *managedSender) suspend(duration time.Duration) {
 	s.mu.Lock()
 	cmd := s.cmd
@@ -190,12 +190,12 @@
 	if cmd == nil {
 		return
 	}
-	cmd.Process.Signal(syscall.SIGSTOP) // an error says that it has ended
+	cmd.Process.Signal(syscall.SIGSTOP) // an error means that it has exited
 	time.Sleep(duration)
 	cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// reload writes the configuration anew and sends SIGHUP.
+// reload writes the configuration again and sends SIGHUP.
 func (s *managedSender) reload() error {
 	if err := s.writeConfig(); err != nil {
 		return err
@@ -203,7 +203,7 @@
 	return s.signal(syscall.SIGHUP)
 }
 
-// history copies the processes so far.
+// history returns copies of the process records so far.
 func (s *managedSender) history() []processRun {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/soak/process_faults.go
+++ b/internal/soak/process_faults.go
@@ -9,41 +9,41 @@
 	"time"
 )
 
-// processFault is what is done to a sender's process.
+// processFault is a fault of a sender's process.
 type processFault struct {
 	description string
-	duration    time.Duration // for which the process is busy with it, about
-	run         func(w *Harness, s *managedSender, rng *rand.Rand) error
+	duration    time.Duration // about how long the process is busy with it
+	run         func(h *Harness, s *managedSender, rng *rand.Rand) error
 }
 
 const (
-	maxSuspension       = 20 * time.Millisecond // one hold-up of a series
-	maxSuspensionGap    = 3 * time.Millisecond  // between two of them, at most
-	startupTime         = 60 * time.Millisecond // within which a start is under way
-	connectionCloseTime = 450 * time.Millisecond
-	exitTime            = 2700 * time.Millisecond
+	maxSuspension       = 20 * time.Millisecond   // one suspension of a series
+	maxSuspensionGap    = 3 * time.Millisecond    // between two suspensions of a series
+	startupTime         = 60 * time.Millisecond   // within which a process is still starting
+	connectionCloseTime = 450 * time.Millisecond  // from SIGTERM until about when the process closes its clients' connections
+	exitTime            = 2700 * time.Millisecond // from SIGTERM until shortly before the process exits
 )
 
-// The faults of a process.
+// Faults of a sender's process.
 var (
-	killed = processFault{"SIGKILL and start", 2 * time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
+	killed = processFault{"SIGKILL, then start", 2 * time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
 		s.kill()
 		time.Sleep(restartDelay)
 		return s.startWithSuspensions(rng)
 	}}
-	terminated = processFault{"SIGTERM and start", stopTimeout + 2*time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
+	terminated = processFault{"SIGTERM, then start", stopTimeout + 2*time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
 		s.stopWithSuspensions(rng)
 		time.Sleep(restartDelay)
 		return s.startWithSuspensions(rng)
 	}}
-	terminatedTwice = processFault{"SIGTERM twice and start", stopTimeout + 2*time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
-		again := time.AfterFunc(time.Duration(rng.Int64N(int64(stopTimeout))), func() { s.signal(syscall.SIGTERM) })
+	terminatedTwice = processFault{"SIGTERM twice, then start", stopTimeout + 2*time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
+		timer := time.AfterFunc(time.Duration(rng.Int64N(int64(stopTimeout))), func() { s.signal(syscall.SIGTERM) })
 		s.stopWithSuspensions(rng)
-		again.Stop()
+		timer.Stop()
 		time.Sleep(restartDelay)
 		return s.startAndWait()
 	}}
-	terminatedAtStart = processFault{"SIGKILL, SIGTERM in the middle of the start, start", stopTimeout + 2*time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
+	terminatedAtStart = processFault{"SIGKILL, start, SIGTERM during the start, then start", stopTimeout + 2*time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
 		s.kill()
 		time.Sleep(restartDelay)
 		if _, err := s.launch(); err != nil {
@@ -54,23 +54,23 @@
 		time.Sleep(restartDelay)
 		return s.startAndWait()
 	}}
-	hangupAroundTerm = processFault{"SIGHUP, SIGTERM, SIGHUP and start", stopTimeout + 2*time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
+	hangupAroundTerm = processFault{"SIGHUP, SIGTERM, SIGHUP, then start", stopTimeout + 2*time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
 		if err := s.moveDiscovery(rng); err != nil {
 			return err
 		}
 		time.Sleep(time.Duration(rng.Int64N(int64(100 * time.Millisecond))))
-		again := time.AfterFunc(time.Duration(rng.Int64N(int64(2*time.Second))), func() { s.moveDiscovery(rng) })
+		timer := time.AfterFunc(time.Duration(rng.Int64N(int64(2*time.Second))), func() { s.moveDiscovery(rng) })
 		s.stopWithSuspensions(rng)
-		again.Stop()
+		timer.Stop()
 		time.Sleep(restartDelay)
 		return s.startAndWait()
 	}}
-	killedAfterAnswer = processFault{"SIGKILL right behind an answer, and start", 2 * time.Second, func(w *Harness, s *managedSender, rng *rand.Rand) error {
-		w.sendAndKill(s, rng)
+	killedAfterAnswer = processFault{"SIGKILL right after an answer, then start", 2 * time.Second, func(h *Harness, s *managedSender, rng *rand.Rand) error {
+		h.sendAndKill(s, rng)
 		time.Sleep(restartDelay)
 		return s.startAndWait()
 	}}
-	killedTwice = processFault{"SIGKILL, start, SIGKILL and start", 3 * time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
+	killedTwice = processFault{"SIGKILL, start, SIGKILL, then start", 3 * time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
 		s.kill()
 		time.Sleep(restartDelay)
 		if _, err := s.launch(); err != nil {
@@ -81,18 +81,18 @@
 		time.Sleep(restartDelay)
 		return s.startAndWait()
 	}}
-	suspended = processFault{"held up", time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
+	suspended = processFault{"suspended for a short time", time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
 		s.suspend(time.Duration(rng.Int64N(int64(maxTotalSuspension))))
 		return nil
 	}}
-	upgraded = processFault{"a new version takes over", stopTimeout + time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
+	upgraded = processFault{"upgrade: a new process takes over", stopTimeout + time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
 		go s.suspendRepeatedly(rand.New(rand.NewPCG(rng.Uint64(), 0)), time.Duration(rng.Int64N(int64(startupTime))))
 		return s.upgrade(stopTimeout)
 	}}
-	moved = processFault{"SIGHUP, discovery moves", 2 * time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
+	moved = processFault{"SIGHUP, discovery has a new address", 2 * time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
 		return s.moveDiscovery(rng)
 	}}
-	movedTwice = processFault{"SIGHUP twice within a second, discovery moves", 2 * time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
+	movedTwice = processFault{"SIGHUP twice within a second, each time with a new address of discovery", 2 * time.Second, func(_ *Harness, s *managedSender, rng *rand.Rand) error {
 		if err := s.moveDiscovery(rng); err != nil {
 			return err
 		}
@@ -101,9 +101,10 @@
 	}}
 )
 
-// suspendRepeatedly stops the process of the moment in a series of short hold-ups after a while, for freezeMost in all.
-func (s *managedSender) suspendRepeatedly(rng *rand.Rand, after time.Duration) {
-	time.Sleep(after)
+// suspendRepeatedly waits for a delay, and then suspends the current process in a series of short suspensions, until
+// these add up to maxTotalSuspension.
+func (s *managedSender) suspendRepeatedly(rng *rand.Rand, delay time.Duration) {
+	time.Sleep(delay)
 	for total := time.Duration(0); total < maxTotalSuspension; {
 		duration := time.Duration(rng.Int64N(int64(maxSuspension)))
 		s.suspend(duration)
@@ -112,23 +113,24 @@
 	}
 }
 
-// stopWithSuspensions ends the process with SIGTERM, held up while it closes its clients' connections or in its last moments.
+// stopWithSuspensions stops the process, and suspends it repeatedly while it closes its clients' connections or shortly
+// before it exits.
 func (s *managedSender) stopWithSuspensions(rng *rand.Rand) {
-	after := connectionCloseTime + time.Duration(rng.Int64N(int64(100*time.Millisecond)))
+	delay := connectionCloseTime + time.Duration(rng.Int64N(int64(100*time.Millisecond)))
 	if rng.IntN(3) == 0 {
-		after = exitTime + time.Duration(rng.Int64N(int64(500*time.Millisecond)))
+		delay = exitTime + time.Duration(rng.Int64N(int64(500*time.Millisecond)))
 	}
-	go s.suspendRepeatedly(rand.New(rand.NewPCG(rng.Uint64(), 0)), after)
+	go s.suspendRepeatedly(rand.New(rand.NewPCG(rng.Uint64(), 0)), delay)
 	s.stop(stopTimeout)
 }
 
-// startWithSuspensions starts a process and holds it up meanwhile.
+// startWithSuspensions starts a process and suspends it repeatedly during its start.
 func (s *managedSender) startWithSuspensions(rng *rand.Rand) error {
 	go s.suspendRepeatedly(rand.New(rand.NewPCG(rng.Uint64(), 0)), time.Duration(rng.Int64N(int64(startupTime))))
 	return s.startAndWait()
 }
 
-// moveDiscovery has discovery move to another address and tells the process.
+// moveDiscovery moves discovery to another address and makes the process reload its configuration.
 func (s *managedSender) moveDiscovery(rng *rand.Rand) error {
 	if err := s.agent.moveAddress(1+rng.Int64N(1000), oldAddressLinger); err != nil {
 		return err
@@ -136,7 +138,7 @@
 	return s.reload()
 }
 
-// sendAndKill hands a message in and kills the process right behind its answer.
+// sendAndKill sends a message and kills the process right after the answer.
 func (h *Harness) sendAndKill(sender *managedSender, rng *rand.Rand) {
 	number := slices.Index(h.senders, sender)
 	c := &client{name: fmt.Sprintf("m%d.k%d", number, rng.Uint32()), sender: number, address: sender.listenAddress, rng: rng, requests: &h.requests, workload: h.workload(0)}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -10,30 +10,30 @@
 )
 
 var (
-	seedCount   = flag.Int("soak.seeds", 1, "how many seeds each case is played with")
-	firstSeed   = flag.Uint64("soak.first", 1, "the first of them")
-	senderCount = flag.Int("soak.senders", 6, "real processes of each")
-	faultPeriod = flag.Duration("soak.span", 8*time.Second, "for which faults begin")
+	seedCount   = flag.Int("soak.seeds", 1, "number of seeds that each case runs with")
+	firstSeed   = flag.Uint64("soak.first", 1, "the first seed")
+	senderCount = flag.Int("soak.senders", 6, "senders that run as real processes in each run")
+	faultPeriod = flag.Duration("soak.span", 8*time.Second, "time within which faults begin")
 )
 
-// Real senders under random faults that overlap in time break no rule of the protocol: where an agent has the list and
-// where it comes on request, with few senders in the settings and with many.
+// TestSoak checks that real senders break no rule of the protocol under random, overlapping faults: with a pushed list
+// and with one on request, and with few senders in the settings and with many.
 func TestSoak(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "cometrack")
 	if out, err := exec.Command("go", "build", "-o", program, "../../cmd/cometrack").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	for _, x := range []struct {
-		name   string
-		pushed bool
-		named  int
+	for _, tt := range []struct {
+		name              string
+		pushed            bool
+		configuredSenders int
 	}{{"pushed, few", true, 0}, {"pushed, many", true, 40}, {"on request, many", false, 40}} {
 		for i := range *seedCount {
 			seed := *firstSeed + uint64(i)
-			t.Run(fmt.Sprintf("%s/%d", x.name, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/%d", tt.name, seed), func(t *testing.T) {
 				t.Parallel()
 				report, err := Run(t.Context(), Config{Seed: seed, Program: program, Dir: t.TempDir(), Senders: *senderCount,
-					ConfiguredSenders: x.named, Pushed: x.pushed, FaultPeriod: *faultPeriod, Log: t.Logf})
+					ConfiguredSenders: tt.configuredSenders, Pushed: tt.pushed, FaultPeriod: *faultPeriod, Log: t.Logf})
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -41,15 +41,16 @@
 				for _, v := range report.Violations {
 					t.Error(v)
 				}
-				if report.Delivered < report.Requests/3 { // or the run says nothing
-					t.Errorf("%d of %d delivered", report.Delivered, report.Requests)
+				if report.Delivered < report.Requests/3 { // with fewer deliveries the run would show little
+					t.Errorf("only %d of %d requests were delivered", report.Delivered, report.Requests)
 				}
 			})
 		}
 	}
 }
 
-// The judge finds each kind of breach: it is worth what it would find.
+// TestCheckFindsViolations guards against checks that miss violations: each record that breaks a rule must be reported
+// under that rule, and valid records must not be reported.
 func TestCheckFindsViolations(t *testing.T) {
 	at := func(s float64) time.Time { return time.Unix(1000, 0).Add(time.Duration(s * float64(time.Second))) }
 	request := func(class, answer string) *Request {
@@ -67,47 +68,47 @@
 		}
 		return c
 	}
-	for name, x := range map[string]struct {
-		m    *message
-		want string
+	for name, tt := range map[string]struct {
+		message *message
+		want    string
 	}{
-		"fine":             {&message{request(classSafe, "+OK\r\n"), []Call{call(0.1, 0.2, true, true)}, nil}, ""},
-		"no end":           {&message{request(classSafe, "+OK\r\n"), nil, nil}, "lost"},
-		"late end":         {&message{request(classSafe, "+OK\r\n"), []Call{call(0.1, 0.2, true, false)}, []Notice{{"m0.0-1", "failed", at(3.2)}}}, "lost"},
-		"unsafe again":     {&message{request(classUnsafe, "+OK\r\n"), []Call{call(0.1, 0.2, true, false), call(0.5, 0.6, true, true)}, nil}, "repeat"},
-		"after its window": {&message{request(classKeyed, "+OK\r\n"), []Call{call(0.1, 0.2, true, false), call(3.5, 3.6, true, true)}, []Notice{{"m0.0-1", "failed", at(3.7)}}}, "repeat"},
-		"two at a time":    {&message{request(classSafe, "+OK\r\n"), []Call{call(0.1, 1, true, false), call(0.5, 0.6, true, true)}, nil}, "overlap"},
-		"after its time":   {&message{request(classSafe, "+OK\r\n"), []Call{call(2.3, 2.35, true, true)}, nil}, "deadline"},
-		"refused and sent": {&message{request(classSafe, "-BUSY\r\n"), []Call{call(0.1, 0.2, true, true)}, nil}, "refused"},
-		"ran and returned": {&message{request(classUnsafe, "+OK\r\n"), []Call{call(0.1, 0.2, true, false)}, []Notice{{"m0.0-1", "returned", at(1)}}}, "returned"},
-		"failed and sent":  {&message{request(classSafe, "-ERR failed\r\n"), []Call{call(0.1, 0.2, true, true)}, nil}, "refused"},
-		"no such answer":   {&message{request(classSafe, "-OK\r\n"), nil, nil}, "answer"},
-		"half an answer":   {&message{request(classSafe, "+O"), []Call{call(0.1, 0.2, true, true)}, nil}, "answer"},
-		"read, no answer":  {&message{closed(true), nil, nil}, "answer"},
-		"taken, no answer": {&message{closed(false), []Call{call(0.1, 0.2, true, true)}, nil}, "answer"},
-		"crossed":          {&message{closed(false), nil, nil}, ""},
-		"sent after end":   {&message{request(classSafe, "+OK\r\n"), []Call{call(1, 1.1, true, true)}, []Notice{{"m0.0-1", "returned", at(0.5)}}}, "ended"},
-		"elsewhere":        {&message{request(classSafe, "+OK\r\n"), []Call{{Destination: 1, Body: "body of m0.0-1", FirstByteAt: at(0.1), LastByteAt: at(0.1), EndedAt: at(0.2), MayHaveRun: true, Succeeded: true}}, nil}, "destination"},
-		"another body":     {&message{request(classSafe, "+OK\r\n"), []Call{{FirstByteAt: at(0.1), LastByteAt: at(0.1), EndedAt: at(0.2), MayHaveRun: true, Succeeded: true}}, nil}, "body"},
-		"drains":           {&message{request(classSafe, "+OK\r\n"), []Call{{ID: "m0.0-1", Endpoint: "s-2", Body: "body of m0.0-1", FirstByteAt: at(1.9), LastByteAt: at(1.9), EndedAt: at(1.95), MayHaveRun: true, Succeeded: true}}, nil}, "drain"},
+		"fine":                    {&message{request(classSafe, "+OK\r\n"), []Call{call(0.1, 0.2, true, true)}, nil}, ""},
+		"no end":                  {&message{request(classSafe, "+OK\r\n"), nil, nil}, "lost"},
+		"late end":                {&message{request(classSafe, "+OK\r\n"), []Call{call(0.1, 0.2, true, false)}, []Notice{{"m0.0-1", "failed", at(3.2)}}}, "lost"},
+		"unsafe message repeated": {&message{request(classUnsafe, "+OK\r\n"), []Call{call(0.1, 0.2, true, false), call(0.5, 0.6, true, true)}, nil}, "repeat"},
+		"repeat after the window": {&message{request(classKeyed, "+OK\r\n"), []Call{call(0.1, 0.2, true, false), call(3.5, 3.6, true, true)}, []Notice{{"m0.0-1", "failed", at(3.7)}}}, "repeat"},
+		"overlapping calls":       {&message{request(classSafe, "+OK\r\n"), []Call{call(0.1, 1, true, false), call(0.5, 0.6, true, true)}, nil}, "overlap"},
+		"sent after deadline":     {&message{request(classSafe, "+OK\r\n"), []Call{call(2.3, 2.35, true, true)}, nil}, "deadline"},
+		"refused and sent":        {&message{request(classSafe, "-BUSY\r\n"), []Call{call(0.1, 0.2, true, true)}, nil}, "refused"},
+		"ran and returned":        {&message{request(classUnsafe, "+OK\r\n"), []Call{call(0.1, 0.2, true, false)}, []Notice{{"m0.0-1", "returned", at(1)}}}, "returned"},
+		"failed and sent":         {&message{request(classSafe, "-ERR failed\r\n"), []Call{call(0.1, 0.2, true, true)}, nil}, "refused"},
+		"unknown answer":          {&message{request(classSafe, "-OK\r\n"), nil, nil}, "answer"},
+		"incomplete answer":       {&message{request(classSafe, "+O"), []Call{call(0.1, 0.2, true, true)}, nil}, "answer"},
+		"read, no answer":         {&message{closed(true), nil, nil}, "answer"},
+		"processed, no answer":    {&message{closed(false), []Call{call(0.1, 0.2, true, true)}, nil}, "answer"},
+		"crossed":                 {&message{closed(false), nil, nil}, ""},
+		"sent after end":          {&message{request(classSafe, "+OK\r\n"), []Call{call(1, 1.1, true, true)}, []Notice{{"m0.0-1", "returned", at(0.5)}}}, "ended"},
+		"elsewhere":               {&message{request(classSafe, "+OK\r\n"), []Call{{Destination: 1, Body: "body of m0.0-1", FirstByteAt: at(0.1), LastByteAt: at(0.1), EndedAt: at(0.2), MayHaveRun: true, Succeeded: true}}, nil}, "destination"},
+		"another body":            {&message{request(classSafe, "+OK\r\n"), []Call{{FirstByteAt: at(0.1), LastByteAt: at(0.1), EndedAt: at(0.2), MayHaveRun: true, Succeeded: true}}, nil}, "body"},
+		"drains":                  {&message{request(classSafe, "+OK\r\n"), []Call{{ID: "m0.0-1", Endpoint: "s-2", Body: "body of m0.0-1", FirstByteAt: at(1.9), LastByteAt: at(1.9), EndedAt: at(1.95), MayHaveRun: true, Succeeded: true}}, nil}, "drain"},
 	} {
-		w := &Harness{cfg: Config{Pushed: true}, drainGrace: time.Second, senders: []*managedSender{{name: "n0", runs: []*processRun{{StartedAt: at(-1), ReadyAt: at(-0.5)}},
+		h := &Harness{cfg: Config{Pushed: true}, drainGrace: time.Second, senders: []*managedSender{{name: "n0", runs: []*processRun{{StartedAt: at(-1), ReadyAt: at(-0.5)}},
 			agent: &agent{changes: []Change{{"s-2", "draining", at(0.5)}}}}}}
-		if x.m.Class == classKeyed {
-			x.m.TimeLimit = 6 * time.Second
+		if tt.message.Class == classKeyed {
+			tt.message.TimeLimit = 6 * time.Second
 		}
 		r := &Report{}
-		w.checkDrain(r, x.m)
-		checkDestinationAndBody(r, x.m)
-		checkAttempts(r, x.m)
-		w.checkAnswer(r, x.m)
-		w.checkEnd(r, x.m)
+		h.checkDrain(r, tt.message)
+		checkDestinationAndBody(r, tt.message)
+		checkAttempts(r, tt.message)
+		h.checkAnswer(r, tt.message)
+		h.checkEnd(r, tt.message)
 		found := ""
 		if len(r.Violations) > 0 {
-			found = r.Violations[0][:len(x.want)]
+			found = r.Violations[0][:len(tt.want)]
 		}
-		if found != x.want || x.want == "" && len(r.Violations) > 0 || x.want != "" && len(r.Violations) != 1 {
-			t.Errorf("%s: found %q, want %q", name, r.Violations, x.want)
+		if found != tt.want || tt.want == "" && len(r.Violations) > 0 || tt.want != "" && len(r.Violations) != 1 {
+			t.Errorf("%s: found %q, want %q", name, r.Violations, tt.want)
 		}
 	}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -13,15 +13,15 @@
 	"crossdeal/internal/scale/standin"
 )
 
-// Config says how a run is made.
+// Config configures a run.
 type Config struct {
 	Seed              uint64
-	Program           string        // path of the sender
-	Dir               string        // for folders, configurations and logs
-	Senders           int           // real processes
-	ConfiguredSenders int           // senders that the settings name; 0 for as many as there are
-	FaultPeriod       time.Duration // of the faults
-	Pushed            bool          // an agent has the list; else it comes on request
+	Program           string        // path of the sender's binary
+	Dir               string        // for state directories, configurations and logs
+	Senders           int           // senders that run as real processes
+	ConfiguredSenders int           // number of senders in the settings; 0 for the number of real ones
+	FaultPeriod       time.Duration // faults begin within this time from the start
+	Pushed            bool          // membership mode: an agent has the list; otherwise the list comes on request
 	Log               func(format string, args ...any)
 }
 
@@ -39,27 +39,27 @@
 	maxMessageTime          = 6 * time.Second
 	stopTimeout             = 3700 * time.Millisecond // from SIGTERM to SIGKILL at a planned restart
 	restartDelay            = 600 * time.Millisecond  // from SIGKILL to the next start
-	oldAddressLinger        = 1500 * time.Millisecond // for which an old address of discovery keeps its connections
+	oldAddressLinger        = 1500 * time.Millisecond // for which discovery's old address keeps its open connections
 	rejectRetryAfter        = 700 * time.Millisecond
 )
 
-// clientProfile is how one client of each sender behaves.
+// clientProfile describes one client of each sender.
 type clientProfile struct {
 	pattern   connectionPattern
-	meanPause time.Duration // mean, between two messages
+	meanPause time.Duration // between two messages or groups of messages
 }
 
-// clientProfiles are the clients of a sender: some rest for long on their connections.
+// clientProfiles lists the clients of each sender. Some keep their connections idle for long.
 var clientProfiles = [clientsPerSender]clientProfile{{patternPlain, 60 * time.Millisecond}, {patternPlain, 40 * time.Millisecond},
 	{patternPlain, time.Second}, {patternBusy, 8 * time.Millisecond}, {patternIdle, 100 * time.Millisecond}, {patternIdle, 10 * time.Millisecond},
 	{patternSplitWrites, 50 * time.Millisecond}, {patternHalfClose, 80 * time.Millisecond}}
 
-// workload is what a client with a pause hands in.
+// workload returns the workload of a client with the given mean pause.
 func (h *Harness) workload(meanPause time.Duration) workload {
 	return workload{[]string{classSafe, classKeyed, classUnsafe}, destinationCount, meanPause, minMessageTime, maxMessageTime}
 }
 
-// Harness is one run: senders, their agents, endpoints and clients.
+// Harness runs the senders, agents, endpoints and clients of one run.
 type Harness struct {
 	cfg            Config
 	rng            *rand.Rand
@@ -67,12 +67,12 @@
 	senders        []*managedSender
 	requests       requestLog
 	mu             sync.Mutex
-	endpoints      []*endpoint // all that ever were
-	upIndexes      []int       // places in endpoints of those that are up
+	endpoints      []*endpoint // all that were ever started
+	upIndexes      []int       // indexes into endpoints of those that are up
 	lastEndpointID int
 }
 
-// Run plays a run and returns what the judge found.
+// Run executes one run and returns the report of its checks.
 func Run(ctx context.Context, cfg Config) (*Report, error) {
 	h := &Harness{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1))}
 	h.drainGrace = time.Duration(h.rng.IntN(3)+1) * 500 * time.Millisecond
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// freeAddress is an address of a host of the sender's own, on a port that is free.
+// freeAddress returns a free port on a loopback IP address that only this sender uses.
 func freeAddress(sender int) (string, error) {
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.0.1.%d:0", sender+1))
 	if err != nil {
@@ -146,7 +146,7 @@
 	return ln.Addr().String(), nil
 }
 
-// addEndpoint starts an endpoint and returns its entry.
+// addEndpoint starts an endpoint and returns its list entry.
 func (h *Harness) addEndpoint(destination int64) (standin.Row, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -164,14 +164,14 @@
 	return standin.Row{ID: e.id, HostPort: e.address(), Zone: "a", Kind: "std", Dest: e.destination, Lifecycle: lifecycle, Weight: 200}
 }
 
-// announce has every agent learn a change.
+// announce passes a change to every agent.
 func (h *Harness) announce(row standin.Row) {
 	for _, sender := range h.senders {
 		sender.agent.update(row)
 	}
 }
 
-// configJSON is a sender's configuration file.
+// configJSON returns the text of a sender's configuration file.
 func (h *Harness) configJSON(name, listen, discovery string, seed uint64, rows []standin.Row) []byte {
 	senders, mode := h.cfg.ConfiguredSenders, "pushed"
 	if senders == 0 {
@@ -210,7 +210,7 @@
 	return text
 }
 
-// finish ends all faults, lets what is owed end, and stops the senders.
+// finish ends all faults, waits until every accepted message must have ended, and stops the senders.
 func (h *Harness) finish() {
 	for _, e := range h.allEndpoints() {
 		e.setBehaviour(Healthy)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the line protocol that drives the decision
-// module: frames of events in, frames of actions out. It decides nothing.
+// Package wire reads and writes the line protocol that drives the decision logic: it decodes frames of events and encodes
+// actions. It takes no decisions.
 package wire
 
 import (
@@ -12,8 +12,7 @@
 	"crossdeal/logic"
 )
 
-// Item is one event of a frame with the instance that it is for. Exactly one of
-// Create, Halt and Event is set.
+// Item is one event of a frame and the instance that it is for. At most one of Create, Halt and Event is set.
 type Item struct {
 	Instance int
 	Create   *Create
@@ -21,20 +20,20 @@
 	Event    logic.Event
 }
 
-// Create brings an instance up.
+// Create starts an instance.
 type Create struct {
 	Seed     uint64
 	Settings logic.Settings
 }
 
-// Frame is one batch of events.
+// Frame is one batch of events that are handled at the same time.
 type Frame struct {
 	Clock logic.Micros
 	Seq   string
 	Items []Item
 }
 
-// Error tells where a frame is malformed.
+// Error describes where a frame is malformed.
 type Error struct {
 	Line    int
 	Field   string
@@ -48,7 +47,7 @@
 	return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.Message)
 }
 
-// listCount is how many list numbers the wire has.
+// listCount is the number of list numbers that the protocol has.
 const listCount = 16
 
 // Decoder reads frames.
@@ -63,8 +62,8 @@
 	return &Decoder{reader: bufio.NewReaderSize(r, 1<<16)}
 }
 
-// readLine returns the next line without its end; io.EOF only before the first
-// byte of a line.
+// readLine returns the next line without its line end. It returns io.EOF only if the input ends before the first byte of
+// a line.
 func (d *Decoder) readLine() (string, error) {
 	text, err := d.reader.ReadString('\n')
 	if err == io.EOF && text != "" {
@@ -77,8 +76,7 @@
 	return strings.TrimRight(text, "\r\n"), nil
 }
 
-// Next returns the next frame, or io.EOF when the input has ended between two
-// frames.
+// Next returns the next frame, or io.EOF when the input ends between two frames.
 func (d *Decoder) Next() (*Frame, error) {
 	text, err := d.readLine()
 	for err == nil && text == "" {
@@ -89,7 +87,7 @@
 	}
 	parser := d.parser(text)
 	if parser.name != "frame" {
-		return nil, &Error{d.line, "", "want a frame, got " + strconv.Quote(parser.name)}
+		return nil, &Error{d.line, "", "expected a frame, got " + strconv.Quote(parser.name)}
 	}
 	frame := &Frame{Clock: parser.time("clock_s"), Seq: parser.word("round")}
 	if _, err := strconv.ParseUint(frame.Seq, 10, 64); err != nil {
@@ -144,7 +142,7 @@
 		}
 		entryParser := d.parser(text)
 		if entryParser.name != "entry" {
-			return &Error{d.line, "", "want an entry, got " + strconv.Quote(entryParser.name)}
+			return &Error{d.line, "", "expected an entry, got " + strconv.Quote(entryParser.name)}
 		}
 		entry := logic.Entry{Endpoint: entryParser.endpoint(), Zone: int(entryParser.integer("zone")), Kind: int(entryParser.integer("kind")),
 			Destination: entryParser.integer("cell"), State: entryParser.readiness(), Nominal: entryParser.number("nominal")}
@@ -195,7 +193,7 @@
 		parser.time("time_taken_s")
 		item.Event = logic.HealthResult{Outcome: outcome, Endpoint: parser.endpoint(), Load: parser.load()}
 	case "peer":
-		// The module uses no messages between senders; the line is checked and dropped.
+		// The decision logic uses no messages between senders: the line is checked and dropped.
 		parser.integer("neighbour")
 		parser.word("msg")
 		item.Event = nil
@@ -257,7 +255,7 @@
 	return r
 }
 
-// lineParser takes the values of one line in order and keeps the first error.
+// lineParser reads the values of one line in order and keeps the first error.
 type lineParser struct {
 	name, rest string
 	line       int
@@ -277,7 +275,7 @@
 
 func (p *lineParser) finish() error {
 	if p.err == nil && p.rest != "" {
-		p.fail("", "more values than "+p.name+" has")
+		p.fail("", "more values than "+p.name+" takes")
 	}
 	return p.err
 }
@@ -297,7 +295,7 @@
 	return word
 }
 
-// optional is a word that may be absent; then it is empty.
+// optional reads a word that may be absent, which is written as -. It returns an empty string then.
 func (p *lineParser) optional(field string) string {
 	word := p.word(field)
 	if word == "-" {
@@ -309,7 +307,7 @@
 func (p *lineParser) parseInteger(field, word string) int64 {
 	n, err := strconv.ParseInt(word, 10, 64)
 	if err != nil {
-		// A whole number in a field of type number may come with a fraction of nought.
+		// A whole number may be written as a decimal number with a fraction of zero.
 		x, floatErr := strconv.ParseFloat(word, 64)
 		if floatErr != nil || x != float64(int64(x)) {
 			p.fail(field, "not a whole number: "+strconv.Quote(word))
@@ -428,7 +426,8 @@
 	}
 }
 
-// ParseTime reads a time in seconds as whole microseconds, exactly.
+// ParseTime reads a number of seconds as whole microseconds. It converts a decimal number exactly, without digits beyond
+// microseconds, and rounds a number with an exponent.
 func ParseTime(text string) (logic.Micros, error) {
 	body, negative := strings.CutPrefix(text, "-")
 	whole, fraction, _ := strings.Cut(body, ".")
@@ -459,8 +458,7 @@
 	return logic.Micros(micros), nil
 }
 
-// AppendTime writes whole microseconds as seconds, exactly and without needless
-// digits.
+// AppendTime appends whole microseconds as a decimal number of seconds, without rounding or trailing zeros.
 func AppendTime(b []byte, t logic.Micros) []byte {
 	if t < 0 {
 		b = append(b, '-')
@@ -474,7 +472,7 @@
 	return append(b, strings.TrimRight(fmt.Sprintf(".%06d", fraction), "0")...)
 }
 
-// AppendAction writes one action of an instance as a line.
+// AppendAction appends one action of an instance as a line.
 func AppendAction(b []byte, instance int, a logic.Action) []byte {
 	number := strconv.Itoa(instance)
 	switch a := a.(type) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -18,12 +18,12 @@
 			t.Errorf("%s: got %d, %v; want %d", text, got, err, want)
 		}
 		if text != "1e-05" && string(AppendTime(nil, want)) != text {
-			t.Errorf("%d printed as %s, want %s", want, AppendTime(nil, want), text)
+			t.Errorf("%d was written as %s, want %s", want, AppendTime(nil, want), text)
 		}
 	}
 	for _, text := range []string{"", "x", "1.x", ".5", "1.0000001x", "1e", "--1", "1e300"} {
 		if got, err := ParseTime(text); err == nil {
-			t.Errorf("%q was read as %d", text, got)
+			t.Errorf("%q was read as %d, want an error", text, got)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 		t.Errorf("got %+v\nwant %+v", frame.Items, want)
 	}
 	if _, err := decoder.Next(); err != io.EOF {
-		t.Errorf("after the last frame: %v", err)
+		t.Errorf("after the last frame: got %v, want io.EOF", err)
 	}
 }
 
@@ -124,7 +124,7 @@
 		if !errors.As(err, &got) || got.Line != want.Line || got.Field != want.Field {
 			t.Errorf("%q: got %v, want line %d, field %q", text, err, want.Line, want.Field)
 		} else if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: the message has more than one line", text)
+			t.Errorf("%q: the error text has more than one line", text)
 		}
 	}
 }
@@ -150,7 +150,7 @@
 	}
 	for _, text := range []string{`{"weights":"heavy"}`, `{"classes":[{"idempotency":"perhaps"}]}`, `[]`} {
 		if _, err := ParseSettings([]byte(text)); err == nil {
-			t.Errorf("%s: no error", text)
+			t.Errorf("%s: got no error", text)
 		}
 	}
 }
