--- a/internal/node/client_close_process_test.go
+++ b/internal/node/client_close_process_test.go
@@ -43,7 +43,7 @@
 	if errors.Is(err, io.EOF) {
 		<-processEnded
 		time.Sleep(resetArrivalTime)
-		if standin.ReadByPeer(conn) {
+		if standin.PeerReadAll(conn) {
 			x.lost.Add(count)
 			return
 		}
--- a/internal/node/client_close_test.go
+++ b/internal/node/client_close_test.go
@@ -264,7 +264,7 @@
 			c.wg.Wait()
 			stop()
 			time.Sleep(10 * time.Millisecond)
-			if standin.ReadByPeer(side.conn) {
+			if standin.PeerReadAll(side.conn) {
 				t.Error("the request that crossed was read")
 			}
 		})
--- a/internal/scale/journal_test.go
+++ b/internal/scale/journal_test.go
@@ -21,8 +21,8 @@
 	opDone
 )
 
-// appender returns a function that appends records, given as their JSON, to the journal.
-func appender(t testing.TB, j *node.Journal) func(records ...string) {
+// journalAppender returns a function that appends records, given as their JSON, to the journal.
+func journalAppender(t testing.TB, j *node.Journal) func(records ...string) {
 	method := reflect.ValueOf(j).MethodByName("Append")
 	if !method.IsValid() || method.Type().NumIn() != 1 || method.Type().In(0).Kind() != reflect.Slice {
 		t.Fatal("node.Journal has no Append of records any more")
@@ -38,8 +38,8 @@
 	}
 }
 
-// body is one of 256 bytes, in the base64 of JSON.
-var body = func() string {
+// messageBody is one of 256 bytes, in the base64 of JSON.
+var messageBody = func() string {
 	text, err := json.Marshal([]byte(strings.Repeat("x", 256)))
 	if err != nil {
 		panic(err)
@@ -47,9 +47,9 @@
 	return string(text)
 }()
 
-func accepted(id string) string {
+func acceptRecord(id string) string {
 	return fmt.Sprintf(`{"op":%d,"entry":{"id":%q,"key":"k-%s","class":"keyed","dest":12345,"deadline":1900000000000000,"body":%s}}`,
-		opAccept, id, id, body)
+		opAccept, id, id, messageBody)
 }
 
 func openJournal(t testing.TB, dir string) *node.Journal {
@@ -63,10 +63,10 @@
 // fillJournal takes on n messages.
 func fillJournal(t testing.TB, dir string, n int) {
 	j := openJournal(t, dir)
-	add := appender(t, j)
+	add := journalAppender(t, j)
 	var recs []string
 	for i := range n {
-		if recs = append(recs, accepted(fmt.Sprintf("message-%08d", i))); len(recs) == 500 || i == n-1 {
+		if recs = append(recs, acceptRecord(fmt.Sprintf("message-%08d", i))); len(recs) == 500 || i == n-1 {
 			add(recs...)
 			recs = nil
 		}
@@ -78,7 +78,7 @@
 
 // TestScaleJournal measures replay and append against the entries held.
 func TestScaleJournal(t *testing.T) {
-	needLarge(t)
+	skipUnlessLarge(t)
 	fixed := map[string]float64{"body_B": 256}
 	replay := Series{Name: "journal: replay", XUnit: "entries", YUnit: "ms", TargetX: SenderBacklog, Limit: 10_000, Fixed: fixed,
 		Note: "target: a backlog of 17.2 million at one sender; the limit is the time to ready of nine in ten restarts"}
@@ -89,30 +89,30 @@
 	for _, n := range []int{1000, 5000, 20_000, 30_000} {
 		dir := t.TempDir()
 		fillJournal(t, dir, n)
-		replay.Points = append(replay.Points, Point{float64(n), cost(1, func() {
+		replay.Points = append(replay.Points, Point{float64(n), cpuMicros(1, func() {
 			if err := openJournal(t, dir).Close(); err != nil {
 				t.Fatal(err)
 			}
 		}) / 1000})
-		held.Points = append(held.Points, Point{float64(n), heapOf(func() *node.Journal { return openJournal(t, dir) })})
+		held.Points = append(held.Points, Point{float64(n), heapBytes(func() *node.Journal { return openJournal(t, dir) })})
 		info, err := os.Stat(filepath.Join(dir, "journal"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		file.Points = append(file.Points, Point{float64(n), float64(info.Size())})
-		add.Points = append(add.Points, Point{float64(n), lifeCost(t, dir)})
+		add.Points = append(add.Points, Point{float64(n), messageRecordsCost(t, dir)})
 	}
-	report.Add(replay)
-	report.Add(held)
-	report.Add(file)
-	report.Add(add)
+	report.AddSeries(replay)
+	report.AddSeries(held)
+	report.AddSeries(file)
+	report.AddSeries(add)
 	cost := add.Points[len(add.Points)-1].Y
-	report.Note(Fact{Name: "journal: share of a core at 2,037 messages a second, 30,000 held", Unit: "cores", Value: cost * SenderRate / 1e6,
+	report.AddFact(Fact{Name: "journal: share of a core at 2,037 messages a second, 30,000 held", Unit: "cores", Value: cost * SenderRate / 1e6,
 		Limit: 1, Note: "the same goroutine decides and writes"})
 }
 
-// lifeCost is what the records of one message cost, in microseconds, in a journal that holds what dir has.
-func lifeCost(t testing.TB, dir string) float64 {
+// messageRecordsCost is what the records of one message cost, in microseconds, in a journal that holds what dir has.
+func messageRecordsCost(t testing.TB, dir string) float64 {
 	j := openJournal(t, dir)
 	defer j.Close()
 	method := reflect.ValueOf(j).MethodByName("Append")
@@ -122,7 +122,7 @@
 		for range 10 {
 			made++
 			id := fmt.Sprintf("new-%08d", made)
-			parts[0] = append(parts[0], accepted(id))
+			parts[0] = append(parts[0], acceptRecord(id))
 			for i, text := range []string{`{"op":%d,"id":%q,"at":1900000000000000,"zone":3}`, `{"op":%d,"id":%q}`, `{"op":%d,"id":%q}`} {
 				parts[i+1] = append(parts[i+1], fmt.Sprintf(text, opSend+i, id))
 			}
@@ -138,10 +138,10 @@
 	}
 	const rounds = 400 // 4,000 messages each time: some 2.5 MB, so that rewrites have their part
 	var work [][]reflect.Value
-	for range repeats * rounds {
+	for range costRepeats * rounds {
 		work = append(work, round()...)
 	}
-	return cost(rounds, func() {
+	return cpuMicros(rounds, func() {
 		for range 4 {
 			if err, _ := method.Call(work[0])[0].Interface().(error); err != nil {
 				t.Fatal(err)
--- a/internal/scale/measure.go
+++ b/internal/scale/measure.go
@@ -26,8 +26,8 @@
 	return u.Maxrss << 10
 }
 
-// Heap is what lives on the heap after a garbage collection, in bytes.
-func Heap() int64 {
+// LiveHeap is what lives on the heap after a garbage collection, in bytes.
+func LiveHeap() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC() // what finalizers and pools held goes with the second
@@ -35,9 +35,9 @@
 	return int64(m.HeapAlloc)
 }
 
-// ThreadTime is the processor time of the calling thread so far, user and system. It says something only about a
+// ThreadCPUTime is the processor time of the calling thread so far, user and system. It says something only about a
 // goroutine that is locked to its thread. What the garbage collector does on other threads is not in it.
-func ThreadTime() time.Duration {
+func ThreadCPUTime() time.Duration {
 	const threadClock = 3 // CLOCK_THREAD_CPUTIME_ID
 	var t syscall.Timespec
 	if _, _, errno := syscall.RawSyscall(syscall.SYS_CLOCK_GETTIME, threadClock, uintptr(unsafe.Pointer(&t)), 0); errno != 0 {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -21,8 +21,8 @@
 	"time"
 )
 
-// LeastSizes is the number of different sizes below which a series gets no fit.
-const LeastSizes = 4
+// MinSizes is the number of different sizes below which a series gets no fit.
+const MinSizes = 4
 
 // Point is one measured size: X in the XUnit of its series, Y in its YUnit.
 type Point struct {
@@ -70,28 +70,28 @@
 // commit that ran, with a plus sign if files differed from it. Failed says that a test of the run failed. Its methods
 // may be called from several goroutines.
 type Report struct {
-	Commit  string   `json:"commit"`
-	At      string   `json:"at"`
-	Command string   `json:"command"`
-	Go      string   `json:"go"`
-	Cores   int      `json:"cores"` // that the run may use
-	Machine int      `json:"machine_cores"`
-	Failed  bool     `json:"failed"`
-	Series  []Series `json:"series"`
-	Facts   []Fact   `json:"facts"`
+	Commit       string   `json:"commit"`
+	StartedAt    string   `json:"at"`
+	Command      string   `json:"command"`
+	Go           string   `json:"go"`
+	Cores        int      `json:"cores"` // that the run may use
+	MachineCores int      `json:"machine_cores"`
+	Failed       bool     `json:"failed"`
+	Series       []Series `json:"series"`
+	Facts        []Fact   `json:"facts"`
 
 	mu sync.Mutex
 }
 
 // NewReport begins a report for a run at the present time.
 func NewReport(commit, command string) *Report {
-	return &Report{Commit: commit, At: time.Now().UTC().Format(time.RFC3339), Command: command,
-		Go: runtime.Version(), Cores: runtime.GOMAXPROCS(0), Machine: runtime.NumCPU()}
+	return &Report{Commit: commit, StartedAt: time.Now().UTC().Format(time.RFC3339), Command: command,
+		Go: runtime.Version(), Cores: runtime.GOMAXPROCS(0), MachineCores: runtime.NumCPU()}
 }
 
-// Add takes a series, fits it and works out its figure at the target. A fit on fewer than [LeastSizes] different sizes
+// AddSeries takes a series, fits it and works out its figure at the target. A fit on fewer than [LeastSizes] different sizes
 // is refused: its Form is "none".
-func (r *Report) Add(s Series) {
+func (r *Report) AddSeries(s Series) {
 	s.Fit = FitPoints(s.Points)
 	s.AtTarget = 0
 	if s.TargetX != 0 {
@@ -107,8 +107,8 @@
 	r.Series = append(r.Series, s)
 }
 
-// Note takes a fact.
-func (r *Report) Note(f Fact) {
+// AddFact takes a fact.
+func (r *Report) AddFact(f Fact) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Facts = append(r.Facts, f)
@@ -125,8 +125,8 @@
 	return 0
 }
 
-// linePart is the part of the line's error that a power law's must be under to be taken in its place.
-const linePart = 0.5
+// maxPowerErrorRatio is the part of the line's error that a power law's must be under to be taken in its place.
+const maxPowerErrorRatio = 0.5
 
 // FitPoints fits a straight line, or a power law where a line is poor: where the power law is off by less than half as
 // much, as a factor over all points. (R2 alone does not tell: the largest size outweighs all others in it.) Points
@@ -143,12 +143,12 @@
 		sizes[p.X] = true
 		positive = positive && p.X > 0 && p.Y > 0
 	}
-	if len(sizes) < LeastSizes {
+	if len(sizes) < MinSizes {
 		return Fit{Form: "none"}
 	}
 	line := Fit{Form: "linear"}
 	line.Base, line.Slope = leastSquares(xs, ys)
-	line.R2 = explained(xs, ys, line)
+	line.R2 = rSquared(xs, ys, line)
 	if !positive {
 		return line
 	}
@@ -161,16 +161,16 @@
 	power := Fit{Form: "power"}
 	base, slope := leastSquares(logs(xs), logs(ys))
 	power.Base, power.Slope = math.Exp(base), slope
-	power.R2 = explained(xs, ys, power)
-	if offBy(xs, ys, power) < linePart*offBy(xs, ys, line) {
+	power.R2 = rSquared(xs, ys, power)
+	if logRMSError(xs, ys, power) < maxPowerErrorRatio*logRMSError(xs, ys, line) {
 		return power
 	}
 	return line
 }
 
-// offBy is the root of the mean square of the logarithm of measured over fitted; infinite where the law is not above 0.
+// logRMSError is the root of the mean square of the logarithm of measured over fitted; infinite where the law is not above 0.
 // What is under a thousandth counts as that: a law that meets all points needs no better one.
-func offBy(xs, ys []float64, f Fit) float64 {
+func logRMSError(xs, ys []float64, f Fit) float64 {
 	sum := 0.0
 	for i := range xs {
 		y := f.At(xs[i])
@@ -194,8 +194,8 @@
 	return my - slope*mx, slope
 }
 
-// explained is R2. Figures that are all the same are explained by any law that meets them.
-func explained(xs, ys []float64, f Fit) float64 {
+// rSquared is R2. Figures that are all the same are explained by any law that meets them.
+func rSquared(xs, ys []float64, f Fit) float64 {
 	my := mean(ys)
 	var off, all float64
 	for i := range xs {
@@ -231,7 +231,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s  commit %s  %s  %d of %d cores\n%s\n", r.At, r.Commit, r.Go, r.Cores, r.Machine, r.Command)
+	fmt.Fprintf(&b, "%s  commit %s  %s  %d of %d cores\n%s\n", r.StartedAt, r.Commit, r.Go, r.Cores, r.MachineCores, r.Command)
 	if r.Failed {
 		b.WriteString("A TEST OF THIS RUN FAILED.\n")
 	}
@@ -240,57 +240,57 @@
 		law := "none: too few sizes"
 		switch s.Fit.Form {
 		case "linear":
-			law = fmt.Sprintf("%s + %s x", figure(s.Fit.Base), figure(s.Fit.Slope))
+			law = fmt.Sprintf("%s + %s x", formatNumber(s.Fit.Base), formatNumber(s.Fit.Slope))
 		case "power":
-			law = fmt.Sprintf("%s x^%.2f", figure(s.Fit.Base), s.Fit.Slope)
+			law = fmt.Sprintf("%s x^%.2f", formatNumber(s.Fit.Base), s.Fit.Slope)
 		}
 		row := []string{s.Name, s.XUnit, law, fmt.Sprintf("%.3f", s.Fit.R2), "", "", "", "", ""}
 		for _, name := range slices.Sorted(maps.Keys(s.Fixed)) {
-			row[8] += name + "=" + figure(s.Fixed[name]) + " "
+			row[8] += name + "=" + formatNumber(s.Fixed[name]) + " "
 		}
 		if s.TargetX != 0 && s.Fit.Form == "none" && s.AtTarget == 0 {
-			row[4], row[5] = figure(s.TargetX), "not known"
+			row[4], row[5] = formatNumber(s.TargetX), "not known"
 		} else if s.TargetX != 0 {
-			row[4], row[5] = figure(s.TargetX), figure(s.AtTarget)+" "+s.YUnit
+			row[4], row[5] = formatNumber(s.TargetX), formatNumber(s.AtTarget)+" "+s.YUnit
 		}
 		if s.Limit != 0 {
-			row[6], row[7] = figure(s.Limit), fmt.Sprintf("%.0f%%", 100*s.AtTarget/s.Limit)
+			row[6], row[7] = formatNumber(s.Limit), fmt.Sprintf("%.0f%%", 100*s.AtTarget/s.Limit)
 		}
 		rows = append(rows, row)
 	}
 	b.WriteString("\n")
-	align(&b, rows)
+	writeColumns(&b, rows)
 	for _, s := range r.Series {
 		fmt.Fprintf(&b, "\n%s\n", s.Name)
 		for _, name := range slices.Sorted(maps.Keys(s.Fixed)) {
-			fmt.Fprintf(&b, "  %s: %s\n", name, figure(s.Fixed[name]))
+			fmt.Fprintf(&b, "  %s: %s\n", name, formatNumber(s.Fixed[name]))
 		}
 		if s.Note != "" {
 			fmt.Fprintf(&b, "  %s\n", s.Note)
 		}
 		x, y := []string{"  " + s.XUnit}, []string{"  " + s.YUnit}
 		for _, p := range s.Points {
-			x, y = append(x, figure(p.X)), append(y, figure(p.Y))
+			x, y = append(x, formatNumber(p.X)), append(y, formatNumber(p.Y))
 		}
-		align(&b, [][]string{x, y})
+		writeColumns(&b, [][]string{x, y})
 	}
 	if len(r.Facts) > 0 {
 		rows = [][]string{{"fact", "value", "unit", "limit", "note"}}
 		for _, f := range r.Facts {
 			limit := ""
 			if f.Limit != 0 {
-				limit = figure(f.Limit)
+				limit = formatNumber(f.Limit)
 			}
-			rows = append(rows, []string{f.Name, figure(f.Value), f.Unit, limit, f.Note})
+			rows = append(rows, []string{f.Name, formatNumber(f.Value), f.Unit, limit, f.Note})
 		}
 		b.WriteString("\n")
-		align(&b, rows)
+		writeColumns(&b, rows)
 	}
 	return b.String()
 }
 
-// align writes rows of equal length as columns.
-func align(b *strings.Builder, rows [][]string) {
+// writeColumns writes rows of equal length as columns.
+func writeColumns(b *strings.Builder, rows [][]string) {
 	wide := make([]int, len(rows[0]))
 	for _, row := range rows {
 		for i, cell := range row {
@@ -306,8 +306,8 @@
 	}
 }
 
-// figure writes a number with four digits that count, large ones without an exponent.
-func figure(x float64) string {
+// formatNumber writes a number with four digits that count, large ones without an exponent.
+func formatNumber(x float64) string {
 	if a := math.Abs(x); a >= 1000 && a < 1e15 {
 		return fmt.Sprintf("%.0f", x)
 	}
@@ -322,16 +322,16 @@
 	for i := range r.Series {
 		s := &r.Series[i]
 		for _, x := range []*float64{&s.Fit.Base, &s.Fit.Slope, &s.Fit.R2, &s.TargetX, &s.AtTarget, &s.Limit} {
-			finite(x)
+			zeroIfNotFinite(x)
 		}
 		for i := range s.Points {
-			finite(&s.Points[i].X)
-			finite(&s.Points[i].Y)
+			zeroIfNotFinite(&s.Points[i].X)
+			zeroIfNotFinite(&s.Points[i].Y)
 		}
 	}
 	for i := range r.Facts {
-		finite(&r.Facts[i].Value)
-		finite(&r.Facts[i].Limit)
+		zeroIfNotFinite(&r.Facts[i].Value)
+		zeroIfNotFinite(&r.Facts[i].Limit)
 	}
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -340,7 +340,7 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", fmt.Errorf("report: %w", err)
 	}
-	name := strings.NewReplacer(":", "", "-", "").Replace(r.At) + "-" + strings.TrimSuffix(cmp.Or(r.Commit, "none"), "+")
+	name := strings.NewReplacer(":", "", "-", "").Replace(r.StartedAt) + "-" + strings.TrimSuffix(cmp.Or(r.Commit, "none"), "+")
 	path = filepath.Join(dir, name+".json")
 	if err := os.WriteFile(path, append(text, '\n'), 0o644); err != nil {
 		return "", fmt.Errorf("report: %w", err)
@@ -348,7 +348,7 @@
 	return path, nil
 }
 
-func finite(x *float64) {
+func zeroIfNotFinite(x *float64) {
 	if math.IsNaN(*x) || math.IsInf(*x, 0) {
 		*x = 0
 	}
--- a/internal/scale/report_test.go
+++ b/internal/scale/report_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestFitFindsLineAndPower(t *testing.T) {
+func TestFitLineAndPower(t *testing.T) {
 	line := FitPoints([]Point{{1, 5}, {2, 7}, {10, 23}, {100, 203}})
 	if line.Form != "linear" || math.Abs(line.Base-3) > 1e-9 || math.Abs(line.Slope-2) > 1e-9 || line.R2 < 0.999999 {
 		t.Errorf("fit of 3 + 2x is %+v", line)
@@ -25,10 +25,10 @@
 	}
 }
 
-// TestFitRefusesFewSizes: three sizes give no slope, however often each was measured.
-func TestFitRefusesFewSizes(t *testing.T) {
+// TestFitNeedsEnoughSizes: three sizes give no slope, however often each was measured.
+func TestFitNeedsEnoughSizes(t *testing.T) {
 	r := NewReport("c", "x")
-	r.Add(Series{Name: "few", Points: []Point{{1, 1}, {1, 1}, {2, 2}, {2, 2}, {3, 3}, {math.NaN(), 4}}, TargetX: 9, Limit: 1})
+	r.AddSeries(Series{Name: "few", Points: []Point{{1, 1}, {1, 1}, {2, 2}, {2, 2}, {3, 3}, {math.NaN(), 4}}, TargetX: 9, Limit: 1})
 	if s := r.Series[0]; s.Fit.Form != "none" || s.AtTarget != 0 {
 		t.Errorf("got %+v at %v, want no fit", s.Fit, s.AtTarget)
 	}
@@ -37,12 +37,12 @@
 	}
 }
 
-func TestReportWritesWhatItHolds(t *testing.T) {
+func TestReportWrite(t *testing.T) {
 	r := NewReport("abc1234+", "call")
 	points := []Point{{1, 2}, {2, 4}, {3, 6}, {4, 8.5}}
-	r.Add(Series{Name: "s", XUnit: "x", YUnit: "y", Points: points, TargetX: 4, Limit: 17, Fixed: map[string]float64{"n": 7}})
-	r.Add(Series{Name: "beyond", Points: points, TargetX: 100})
-	r.Note(Fact{Name: "f", Unit: "B", Value: math.Inf(1)})
+	r.AddSeries(Series{Name: "s", XUnit: "x", YUnit: "y", Points: points, TargetX: 4, Limit: 17, Fixed: map[string]float64{"n": 7}})
+	r.AddSeries(Series{Name: "beyond", Points: points, TargetX: 100})
+	r.AddFact(Fact{Name: "f", Unit: "B", Value: math.Inf(1)})
 	if got := r.Series[0].AtTarget; got != 8.5 {
 		t.Errorf("at a measured size the figure is %v, want the measured 8.5", got)
 	}
--- a/internal/scale/standin/count.go
+++ b/internal/scale/standin/count.go
@@ -7,93 +7,93 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// Count is what discovery has seen. Bytes are those of HTTP, without the frames of TCP and IP.
-type Count struct {
-	In, Out int64 // bytes
-	Calls   int64 // for the list
-	Whole   int64 // answers with the whole list
-	Notices int64 // calls with notices
+// Traffic is what discovery has seen. Bytes are those of HTTP, without the frames of TCP and IP.
+type Traffic struct {
+	BytesIn, BytesOut int64 // bytes
+	Calls             int64 // for the list
+	WholeLists        int64 // answers with the whole list
+	Notices           int64 // calls with notices
 }
 
 // Bytes are those of both ways.
-func (c Count) Bytes() int64 { return c.In + c.Out }
+func (c Traffic) Bytes() int64 { return c.BytesIn + c.BytesOut }
 
-func (c *Count) add(x Count) {
-	c.In += x.In
-	c.Out += x.Out
+func (c *Traffic) add(x Traffic) {
+	c.BytesIn += x.BytesIn
+	c.BytesOut += x.BytesOut
 	c.Calls += x.Calls
-	c.Whole += x.Whole
+	c.WholeLists += x.WholeLists
 	c.Notices += x.Notices
 }
 
-type counts struct {
+type trafficCounters struct {
 	since    time.Time
-	bySender map[string]*Count
-	bySecond map[int64]*Count // seconds after since
+	bySender map[string]*Traffic
+	bySecond map[int64]*Traffic // seconds after since
 }
 
-func newCounts() counts {
-	return counts{since: time.Now(), bySender: map[string]*Count{}, bySecond: map[int64]*Count{}}
+func newTrafficCounters() trafficCounters {
+	return trafficCounters{since: time.Now(), bySender: map[string]*Traffic{}, bySecond: map[int64]*Traffic{}}
 }
 
-func (d *Discovery) tally(sender string, f func(*Count)) {
+func (d *Discovery) countTraffic(sender string, f func(*Traffic)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c := d.count.bySender[sender]
+	c := d.traffic.bySender[sender]
 	if c == nil {
-		c = &Count{}
-		d.count.bySender[sender] = c
+		c = &Traffic{}
+		d.traffic.bySender[sender] = c
 	}
 	f(c)
-	second := int64(time.Since(d.count.since) / time.Second)
-	if c = d.count.bySecond[second]; c == nil {
-		c = &Count{}
-		d.count.bySecond[second] = c
+	second := int64(time.Since(d.traffic.since) / time.Second)
+	if c = d.traffic.bySecond[second]; c == nil {
+		c = &Traffic{}
+		d.traffic.bySecond[second] = c
 	}
 	f(c)
 }
 
-// Seen is what has been counted since the last Reset.
-type Seen struct {
-	Span       time.Duration
-	Fleet      Count            // all senders together
-	Worst      Count            // the most of each in any one second
-	FirstSec   Count            // all senders in the first second ...
-	FirstMin   Count            // ... and in the first minute
-	BySender   map[string]Count // each of them
-	MostSender Count            // the most of each at any one sender
+// TrafficStats is what has been counted since the last Reset.
+type TrafficStats struct {
+	Elapsed     time.Duration
+	Total       Traffic            // all senders together
+	PeakSecond  Traffic            // the most of each in any one second
+	FirstSecond Traffic            // all senders in the first second ...
+	FirstMinute Traffic            // ... and in the first minute
+	BySender    map[string]Traffic // each of them
+	PeakSender  Traffic            // the most of each at any one sender
 }
 
-// Seen reads the counters.
-func (d *Discovery) Seen() Seen {
+// Stats reads the counters.
+func (d *Discovery) Stats() TrafficStats {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	s := Seen{Span: time.Since(d.count.since), BySender: map[string]Count{}}
-	for name, c := range d.count.bySender {
+	s := TrafficStats{Elapsed: time.Since(d.traffic.since), BySender: map[string]Traffic{}}
+	for name, c := range d.traffic.bySender {
 		s.BySender[name] = *c
-		s.Fleet.add(*c)
-		s.MostSender.most(*c)
+		s.Total.add(*c)
+		s.PeakSender.setMax(*c)
 	}
-	for second, c := range d.count.bySecond {
-		s.Worst.most(*c)
+	for second, c := range d.traffic.bySecond {
+		s.PeakSecond.setMax(*c)
 		if second == 0 {
-			s.FirstSec = *c
+			s.FirstSecond = *c
 		}
 		if second < 60 {
-			s.FirstMin.add(*c)
+			s.FirstMinute.add(*c)
 		}
 	}
 	return s
 }
 
-func (c *Count) most(x Count) {
-	c.In, c.Out = max(c.In, x.In), max(c.Out, x.Out)
-	c.Calls, c.Whole, c.Notices = max(c.Calls, x.Calls), max(c.Whole, x.Whole), max(c.Notices, x.Notices)
+func (c *Traffic) setMax(x Traffic) {
+	c.BytesIn, c.BytesOut = max(c.BytesIn, x.BytesIn), max(c.BytesOut, x.BytesOut)
+	c.Calls, c.WholeLists, c.Notices = max(c.Calls, x.Calls), max(c.WholeLists, x.WholeLists), max(c.Notices, x.Notices)
 }
 
-// ResetCounts begins to count anew.
-func (d *Discovery) ResetCounts() {
+// ResetStats begins to count anew.
+func (d *Discovery) ResetStats() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.count = newCounts()
+	d.traffic = newTrafficCounters()
 }
--- a/internal/scale/standin/discovery.go
+++ b/internal/scale/standin/discovery.go
@@ -19,14 +19,14 @@
 
 // Row is one entry of the list.
 type Row struct {
-	ID, HostPort, Zone, Kind string
-	Dest                     int64
-	Lifecycle                string
-	Weight                   float64
+	ID, HostPort, Zone, MachineType string
+	Destination                     int64
+	Lifecycle                       string
+	Weight                          float64
 }
 
-// append writes the row in the published form.
-func (r *Row) append(b []byte) []byte {
+// appendJSON writes the row in the published form.
+func (r *Row) appendJSON(b []byte) []byte {
 	b = append(b, `{"instanceId":`...)
 	b = strconv.AppendQuote(b, r.ID)
 	b = append(b, `,"hostPort":`...)
@@ -34,9 +34,9 @@
 	b = append(b, `,"zone":`...)
 	b = strconv.AppendQuote(b, r.Zone)
 	b = append(b, `,"machineType":`...)
-	b = strconv.AppendQuote(b, r.Kind)
+	b = strconv.AppendQuote(b, r.MachineType)
 	b = append(b, `,"cell":`...)
-	b = strconv.AppendInt(b, r.Dest, 10)
+	b = strconv.AppendInt(b, r.Destination, 10)
 	b = append(b, `,"lifecycle":`...)
 	b = strconv.AppendQuote(b, r.Lifecycle)
 	b = append(b, `,"weight":`...)
@@ -44,9 +44,9 @@
 	return append(b, `,"startedAtMs":0}`...)
 }
 
-// Rows is a list of so many destinations with so many endpoints each. The addresses are given out in turn; without
+// MakeRows is a list of so many destinations with so many endpoints each. The addresses are given out in turn; without
 // any, each endpoint has one of its own.
-func Rows(dests, each int, zones, kinds, addrs []string) []Row {
+func MakeRows(dests, each int, zones, kinds, addrs []string) []Row {
 	rows := make([]Row, 0, dests*each)
 	for i := range dests * each {
 		addr := ""
@@ -56,52 +56,52 @@
 			addr = fmt.Sprintf("10.%d.%d.%d:6379", i>>16, i>>8&255, i&255)
 		}
 		rows = append(rows, Row{ID: fmt.Sprintf("s-%08x", uint32(i)*2654435761), HostPort: addr, Zone: zones[i%len(zones)],
-			Kind: kinds[i%len(kinds)], Dest: int64(i / each), Lifecycle: "up", Weight: 100})
+			MachineType: kinds[i%len(kinds)], Destination: int64(i / each), Lifecycle: "up", Weight: 100})
 	}
 	return rows
 }
 
 // Config is how a stand-in of discovery behaves.
 type Config struct {
-	Rows       []Row
-	Generation int64                  // of the first list; 1 if 0
-	Keep       int                    // changes that are kept: who asks from before them gets the whole list; 10,000 if 0
-	Machines   int                    // that share the senders; 1 if 0
-	Bandwidth  float64                // of each, in bytes a second; 0 for no limit
-	Noticed    func(id, state string) // hears of each message that ended by a notice; may be nil
+	Rows        []Row
+	Generation  int64                  // of the first list; 1 if 0
+	KeptChanges int                    // changes that are kept: who asks from before them gets the whole list; 10,000 if 0
+	Machines    int                    // that share the senders; 1 if 0
+	Bandwidth   float64                // of each, in bytes a second; 0 for no limit
+	OnNotice    func(id, state string) // hears of each message that ended by a notice; may be nil
 }
 
 // Discovery is a stand-in of discovery, and of the platform that takes notices.
 type Discovery struct {
 	cfg   Config
 	start time.Time
-	lines []line // one a machine
-
-	mu      sync.Mutex
-	rows    []Row
-	at      map[string]int // id to place in rows
-	gen     int64
-	log     []int         // places in rows, in the order of their changes; the last one made generation gen
-	news    chan struct{} // closed when the list changes
-	lost    chan struct{} // closed when all open watches fall silent
-	whole   []byte        // the list as text, shared by all answers
-	wholeOf int64         // and its generation
-	old     []byte        // a list of version 0, which is sent as an older one
-	faults  []Fault
-	conns   map[net.Conn]bool
-	serving int // machine of the next sender
-	machine map[string]int
-	count   counts
-	closed  bool
+	links []link // one a machine
+
+	mu                   sync.Mutex
+	rows                 []Row
+	indexByID            map[string]int // id to place in rows
+	generation           int64
+	changeLog            []int         // places in rows, in the order of their changes; the last one made generation gen
+	changed              chan struct{} // closed when the list changes
+	watchesStalled       chan struct{} // closed when all open watches fall silent
+	cachedList           []byte        // the list as text, shared by all answers
+	cachedListGeneration int64         // and its generation
+	olderList            []byte        // a list of version 0, which is sent as an older one
+	faults               []Fault
+	conns                map[net.Conn]bool
+	senderCount          int // machine of the next sender
+	machineBySender      map[string]int
+	traffic              trafficCounters
+	closed               bool
 
 	done    chan struct{} // closed by Close
 	running sync.WaitGroup
 }
 
-// line is what a machine can send at most.
-type line struct {
-	mu   sync.Mutex
-	free time.Time
+// link is what a machine can send at most.
+type link struct {
+	mu     sync.Mutex
+	freeAt time.Time
 }
 
 // New makes a stand-in. Its time begins now.
@@ -109,15 +109,15 @@
 	if cfg.Generation == 0 {
 		cfg.Generation = 1
 	}
-	if cfg.Keep == 0 {
-		cfg.Keep = 10_000
+	if cfg.KeptChanges == 0 {
+		cfg.KeptChanges = 10_000
 	}
 	cfg.Machines = max(cfg.Machines, 1)
-	d := &Discovery{cfg: cfg, start: time.Now(), lines: make([]line, cfg.Machines), rows: cfg.Rows, gen: cfg.Generation,
-		at: make(map[string]int, len(cfg.Rows)), news: make(chan struct{}), lost: make(chan struct{}), done: make(chan struct{}),
-		conns: map[net.Conn]bool{}, machine: map[string]int{}, count: newCounts()}
+	d := &Discovery{cfg: cfg, start: time.Now(), links: make([]link, cfg.Machines), rows: cfg.Rows, generation: cfg.Generation,
+		indexByID: make(map[string]int, len(cfg.Rows)), changed: make(chan struct{}), watchesStalled: make(chan struct{}), done: make(chan struct{}),
+		conns: map[net.Conn]bool{}, machineBySender: map[string]int{}, traffic: newTrafficCounters()}
 	for i := range d.rows {
-		d.at[d.rows[i].ID] = i
+		d.indexByID[d.rows[i].ID] = i
 	}
 	return d
 }
@@ -127,22 +127,22 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, r := range rows {
-		i, ok := d.at[r.ID]
+		i, ok := d.indexByID[r.ID]
 		if !ok {
 			i = len(d.rows)
 			d.rows = append(d.rows, Row{})
-			d.at[r.ID] = i
+			d.indexByID[r.ID] = i
 		}
 		d.rows[i] = r
-		d.gen++
-		d.log = append(d.log, i)
+		d.generation++
+		d.changeLog = append(d.changeLog, i)
 	}
-	if over := len(d.log) - 2*d.cfg.Keep; over > 0 {
-		d.log = append([]int(nil), d.log[len(d.log)-d.cfg.Keep:]...)
+	if over := len(d.changeLog) - 2*d.cfg.KeptChanges; over > 0 {
+		d.changeLog = append([]int(nil), d.changeLog[len(d.changeLog)-d.cfg.KeptChanges:]...)
 	}
-	close(d.news)
-	d.news = make(chan struct{})
-	return d.gen
+	close(d.changed)
+	d.changed = make(chan struct{})
+	return d.generation
 }
 
 // Row is the entry at a place of the list.
@@ -156,23 +156,23 @@
 func (d *Discovery) Generation() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.gen
+	return d.generation
 }
 
-// Size is that of the whole list in bytes.
-func (d *Discovery) Size() int {
+// ListSize is that of the whole list in bytes.
+func (d *Discovery) ListSize() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.text())
+	return len(d.encodedListLocked())
 }
 
-// text is the whole list. It is written once for each version that is asked for.
-func (d *Discovery) text() []byte {
-	if d.wholeOf == d.gen {
-		return d.whole
+// encodedListLocked is the whole list. It is written once for each version that is asked for.
+func (d *Discovery) encodedListLocked() []byte {
+	if d.cachedListGeneration == d.generation {
+		return d.cachedList
 	}
-	b := make([]byte, 0, len(d.whole)+1<<16)
-	b = head(b, d.gen, true)
+	b := make([]byte, 0, len(d.cachedList)+1<<16)
+	b = appendListHead(b, d.generation, true)
 	sep := false
 	for i := range d.rows {
 		if d.rows[i].Lifecycle == "removed" {
@@ -182,23 +182,23 @@
 			b = append(b, ',')
 		}
 		sep = true
-		b = d.rows[i].append(b)
+		b = d.rows[i].appendJSON(b)
 	}
-	d.whole, d.wholeOf = append(b, "]}"...), d.gen
-	if d.old == nil {
-		d.old = head(nil, 0, true)
+	d.cachedList, d.cachedListGeneration = append(b, "]}"...), d.generation
+	if d.olderList == nil {
+		d.olderList = appendListHead(nil, 0, true)
 		for i := range min(len(d.rows), 10) {
 			if i > 0 {
-				d.old = append(d.old, ',')
+				d.olderList = append(d.olderList, ',')
 			}
-			d.old = d.rows[i].append(d.old)
+			d.olderList = d.rows[i].appendJSON(d.olderList)
 		}
-		d.old = append(d.old, "]}"...)
+		d.olderList = append(d.olderList, "]}"...)
 	}
-	return d.whole
+	return d.cachedList
 }
 
-func head(b []byte, gen int64, whole bool) []byte {
+func appendListHead(b []byte, gen int64, whole bool) []byte {
 	b = append(b, `{"generation":`...)
 	b = strconv.AppendInt(b, gen, 10)
 	b = append(b, `,"reset":`...)
@@ -206,33 +206,33 @@
 	return append(b, `,"instances":[`...)
 }
 
-// answer is the text for a call that knows a version, and whether there is news for it.
-func (d *Discovery) answer(from int64, knows bool) (text []byte, whole, news bool) {
+// listSince is the text for a call that knows a version, and whether there is news for it.
+func (d *Discovery) listSince(from int64, knows bool) (text []byte, whole, news bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !knows || from > d.gen || d.gen-from > int64(min(len(d.log), d.cfg.Keep)) {
-		return d.text(), true, true
+	if !knows || from > d.generation || d.generation-from > int64(min(len(d.changeLog), d.cfg.KeptChanges)) {
+		return d.encodedListLocked(), true, true
 	}
-	b := head(nil, d.gen, false)
+	b := appendListHead(nil, d.generation, false)
 	told := map[int]bool{}
-	for _, i := range d.log[len(d.log)-int(d.gen-from):] {
+	for _, i := range d.changeLog[len(d.changeLog)-int(d.generation-from):] {
 		if !told[i] {
 			if len(told) > 0 {
 				b = append(b, ',')
 			}
 			told[i] = true
-			b = d.rows[i].append(b)
+			b = d.rows[i].appendJSON(b)
 		}
 	}
-	return append(b, "]}"...), false, d.gen > from
+	return append(b, "]}"...), false, d.generation > from
 }
 
-// Lose lets all watches that are open now fall silent.
-func (d *Discovery) Lose() {
+// StallWatches lets all watches that are open now fall silent.
+func (d *Discovery) StallWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	close(d.lost)
-	d.lost = make(chan struct{})
+	close(d.watchesStalled)
+	d.watchesStalled = make(chan struct{})
 }
 
 // Serve answers calls until the listener or the stand-in is closed. The sender is the one that calls there; if empty,
@@ -253,18 +253,18 @@
 			d.conns[conn] = true
 			d.running.Add(1)
 		}
-		if _, ok := d.machine[name]; !ok {
-			d.machine[name] = d.serving % d.cfg.Machines
-			d.serving++
+		if _, ok := d.machineBySender[name]; !ok {
+			d.machineBySender[name] = d.senderCount % d.cfg.Machines
+			d.senderCount++
 		}
 		d.mu.Unlock()
 		if closed {
-			reset(conn)
+			resetConn(conn)
 			continue
 		}
 		go func() {
 			defer d.running.Done()
-			d.serve(&peer{Conn: conn, d: d, sender: name})
+			d.serveConn(&senderConn{Conn: conn, discovery: d, sender: name})
 		}()
 	}
 }
@@ -283,58 +283,58 @@
 	d.running.Wait()
 }
 
-// Break resets all connections.
-func (d *Discovery) Break() {
+// ResetConnections resets all connections.
+func (d *Discovery) ResetConnections() {
 	d.mu.Lock()
 	conns := d.conns
 	d.conns = map[net.Conn]bool{}
 	d.mu.Unlock()
 	for c := range conns {
-		reset(c)
+		resetConn(c)
 	}
 }
 
-func (d *Discovery) drop(conn net.Conn) {
+func (d *Discovery) removeConn(conn net.Conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.conns, conn)
 }
 
-// reset closes a connection in a way that its peer sees as a break, where the network has one.
-func reset(conn net.Conn) {
+// resetConn closes a connection in a way that its peer sees as a break, where the network has one.
+func resetConn(conn net.Conn) {
 	if t, ok := conn.(*net.TCPConn); ok {
 		t.SetLinger(0)
 	}
 	conn.Close()
 }
 
-// peer is a sender's connection; it counts what goes over it.
-type peer struct {
+// senderConn is a sender's connection; it counts what goes over it.
+type senderConn struct {
 	net.Conn
-	d      *Discovery
-	sender string
+	discovery *Discovery
+	sender    string
 }
 
-func (p *peer) Read(b []byte) (int, error) {
+func (p *senderConn) Read(b []byte) (int, error) {
 	n, err := p.Conn.Read(b)
-	p.d.tally(p.sender, func(c *Count) { c.In += int64(n) })
+	p.discovery.countTraffic(p.sender, func(c *Traffic) { c.BytesIn += int64(n) })
 	return n, err
 }
 
-func (p *peer) Write(b []byte) (int, error) {
+func (p *senderConn) Write(b []byte) (int, error) {
 	n, err := p.Conn.Write(b)
-	p.d.tally(p.sender, func(c *Count) { c.Out += int64(n) })
+	p.discovery.countTraffic(p.sender, func(c *Traffic) { c.BytesOut += int64(n) })
 	return n, err
 }
 
-// piece is how much is written at once, and how much a machine sends before it turns to another sender.
-const piece = 64 << 10
+// writeChunkBytes is how much is written at once, and how much a machine sends before it turns to another sender.
+const writeChunkBytes = 64 << 10
 
-// send writes at the machine's pace.
-func (p *peer) send(b []byte) error {
+// writePaced writes at the machine's pace.
+func (p *senderConn) writePaced(b []byte) error {
 	for len(b) > 0 {
-		n := min(len(b), piece)
-		p.pace(n)
+		n := min(len(b), writeChunkBytes)
+		p.waitForBandwidth(n)
 		if _, err := p.Write(b[:n]); err != nil {
 			return err
 		}
@@ -343,33 +343,33 @@
 	return nil
 }
 
-func (p *peer) pace(n int) {
-	if p.d.cfg.Bandwidth <= 0 {
+func (p *senderConn) waitForBandwidth(n int) {
+	if p.discovery.cfg.Bandwidth <= 0 {
 		return
 	}
-	p.d.mu.Lock()
-	l := &p.d.lines[p.d.machine[p.sender]]
-	p.d.mu.Unlock()
+	p.discovery.mu.Lock()
+	l := &p.discovery.links[p.discovery.machineBySender[p.sender]]
+	p.discovery.mu.Unlock()
 	l.mu.Lock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(n) / p.d.cfg.Bandwidth * float64(time.Second)))
-	free := l.free
+	l.freeAt = l.freeAt.Add(time.Duration(float64(n) / p.discovery.cfg.Bandwidth * float64(time.Second)))
+	free := l.freeAt
 	l.mu.Unlock()
 	// Whoever is due in the same moment goes on side by side, also where time stands still meanwhile.
-	time.Sleep(free.Truncate(paceStep).Add(paceStep).Sub(now))
+	time.Sleep(free.Truncate(pacingInterval).Add(pacingInterval).Sub(now))
 }
 
-const paceStep = 2 * time.Millisecond
+const pacingInterval = 2 * time.Millisecond
 
-var errSilent = errors.New("silent from now on")
+var errUnresponsive = errors.New("silent from now on")
 
-func (d *Discovery) serve(p *peer) {
-	defer d.drop(p.Conn)
-	if d.fault() == Refuse {
-		reset(p.Conn)
+func (d *Discovery) serveConn(p *senderConn) {
+	defer d.removeConn(p.Conn)
+	if d.currentFaultKind() == Refuse {
+		resetConn(p.Conn)
 		return
 	}
 	r := bufio.NewReaderSize(p, 1<<10)
@@ -381,58 +381,58 @@
 		}
 		switch {
 		case req.URL.Path == "/v1/outcomes" && req.Method == http.MethodPost:
-			err = d.outcomes(p, req)
+			err = d.handleOutcomes(p, req)
 		case req.URL.Path == "/discovery/hosts" && req.Method == http.MethodGet:
-			err = d.hosts(p, req)
+			err = d.handleHosts(p, req)
 		default:
-			err = p.reply("404 Not Found", "", nil)
+			err = p.writeResponse("404 Not Found", "", nil)
 		}
-		if errors.Is(err, errSilent) {
+		if errors.Is(err, errUnresponsive) {
 			io.Copy(io.Discard, r) // until the sender has had enough
 		}
 		if err != nil {
-			reset(p.Conn)
+			resetConn(p.Conn)
 			return
 		}
 	}
 }
 
-// reply writes a whole answer.
-func (p *peer) reply(status, kind string, body []byte) error {
+// writeResponse writes a whole answer.
+func (p *senderConn) writeResponse(status, kind string, body []byte) error {
 	h := fmt.Appendf(make([]byte, 0, 128+min(len(body), 4096)), "HTTP/1.1 %s\r\nContent-Length: %d\r\n", status, len(body))
 	if kind != "" {
 		h = fmt.Appendf(h, "Content-Type: %s\r\n", kind)
 	}
 	h = append(h, "\r\n"...)
 	if len(body) <= 4096 { // in one write
-		return p.send(append(h, body...))
+		return p.writePaced(append(h, body...))
 	}
-	if err := p.send(h); err != nil {
+	if err := p.writePaced(h); err != nil {
 		return err
 	}
-	return p.send(body)
+	return p.writePaced(body)
 }
 
-// outcomes takes notices. It does so also while discovery is down.
-func (d *Discovery) outcomes(p *peer, req *http.Request) error {
+// handleOutcomes takes notices. It does so also while discovery is down.
+func (d *Discovery) handleOutcomes(p *senderConn, req *http.Request) error {
 	body, err := io.ReadAll(io.LimitReader(req.Body, 1<<20))
 	if err != nil {
 		return err
 	}
-	d.tally(p.sender, func(c *Count) { c.Notices++ })
+	d.countTraffic(p.sender, func(c *Traffic) { c.Notices++ })
 	if len(body) == 0 {
-		return p.reply("400 Bad Request", "", nil)
+		return p.writeResponse("400 Bad Request", "", nil)
 	}
-	if err := d.tell(body); err != nil {
-		return p.reply("400 Bad Request", "", nil)
+	if err := d.reportNotices(body); err != nil {
+		return p.writeResponse("400 Bad Request", "", nil)
 	}
 	_, err = io.WriteString(p, "HTTP/1.1 204 No Content\r\n\r\n")
 	return err
 }
 
-// tell passes notices on, a JSON object a line.
-func (d *Discovery) tell(body []byte) error {
-	if d.cfg.Noticed == nil {
+// reportNotices passes notices on, a JSON object a line.
+func (d *Discovery) reportNotices(body []byte) error {
+	if d.cfg.OnNotice == nil {
 		return nil
 	}
 	for dec := json.NewDecoder(bytes.NewReader(body)); dec.More(); {
@@ -440,45 +440,45 @@
 		if err := dec.Decode(&notice); err != nil {
 			return err
 		}
-		d.cfg.Noticed(notice.ID, notice.State)
+		d.cfg.OnNotice(notice.ID, notice.State)
 	}
 	return nil
 }
 
-// hosts answers a call for the list, in its time.
-func (d *Discovery) hosts(p *peer, req *http.Request) error {
+// handleHosts answers a call for the list, in its time.
+func (d *Discovery) handleHosts(p *senderConn, req *http.Request) error {
 	q := req.URL.Query()
 	from, bad := strconv.ParseInt(q.Get("from"), 10, 64)
 	ms, _ := strconv.ParseInt(q.Get("hold_ms"), 10, 64)
-	d.tally(p.sender, func(c *Count) { c.Calls++ })
-	if done, err := d.spoil(p, false); done || err != nil {
+	d.countTraffic(p.sender, func(c *Traffic) { c.Calls++ })
+	if done, err := d.applyFault(p, false); done || err != nil {
 		return err
 	}
 	hold := time.NewTimer(time.Duration(min(max(ms, 0), 60_000)) * time.Millisecond)
 	defer hold.Stop()
 	d.mu.Lock()
-	lost := d.lost
+	lost := d.watchesStalled
 	d.mu.Unlock()
 	for over := false; ; {
 		d.mu.Lock()
-		next := d.news
+		next := d.changed
 		d.mu.Unlock()
-		text, whole, news := d.answer(from, bad == nil)
+		text, whole, news := d.listSince(from, bad == nil)
 		if news || over {
-			if done, err := d.spoil(p, true); done || err != nil { // a trouble that began meanwhile
+			if done, err := d.applyFault(p, true); done || err != nil { // a trouble that began meanwhile
 				return err
 			}
-			d.tally(p.sender, func(c *Count) {
+			d.countTraffic(p.sender, func(c *Traffic) {
 				if whole {
-					c.Whole++
+					c.WholeLists++
 				}
 			})
-			return p.reply("200 OK", "application/json", text)
+			return p.writeResponse("200 OK", "application/json", text)
 		}
 		select {
 		case <-next:
 		case <-lost:
-			return errSilent
+			return errUnresponsive
 		case <-d.done:
 			return io.ErrClosedPipe
 		case <-hold.C:
--- a/internal/scale/standin/fault.go
+++ b/internal/scale/standin/fault.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-// Trouble is what is wrong with discovery for a while.
-type Trouble int
+// FaultKind is what is wrong with discovery for a while.
+type FaultKind int
 
 // Troubles. Healthy is none.
 const (
-	Healthy  Trouble = iota
-	Refuse           // connections are refused
-	Reset            // a connection breaks once the request has come
-	Silent           // nothing is answered any more, also not on watches that are open
-	Nonsense         // 200 with a text that is no list
-	Overload         // 503
-	Cut              // the whole list breaks off half way
-	Older            // a whole list of an older version
-	Endless          // a list that does not end
-	Late             // the answer comes later
+	Healthy       FaultKind = iota
+	Refuse                  // connections are refused
+	Reset                   // a connection breaks once the request has come
+	Unresponsive            // nothing is answered any more, also not on watches that are open
+	InvalidList             // 200 with a text that is no list
+	Overload                // 503
+	TruncatedList           // the whole list breaks off half way
+	OlderList               // a whole list of an older version
+	EndlessList             // a list that does not end
+	Delayed                 // the answer comes later
 )
 
-func (t Trouble) String() string {
+func (t FaultKind) String() string {
 	return [...]string{"healthy", "refuse", "reset", "silent", "nonsense", "503", "cut", "older", "endless", "late"}[t]
 }
 
 // Fault is a trouble from some time on after the start, for a while. Where several are due the last one counts.
 type Fault struct {
-	Trouble  Trouble
+	Kind     FaultKind
 	From, To time.Duration
-	By       time.Duration // Late: by so much
+	Delay    time.Duration // Late: by so much
 }
 
-// Script sets the faults of a day; it may be called again.
-func (d *Discovery) Script(faults ...Fault) {
+// SetFaults sets the faults of a day; it may be called again.
+func (d *Discovery) SetFaults(faults ...Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults = faults
 }
 
-// Now sets one trouble from now on; Healthy ends all.
-func (d *Discovery) Now(t Trouble, by time.Duration) {
-	d.Script(Fault{Trouble: t, From: time.Since(d.start), To: 1 << 62, By: by})
+// SetFaultNow sets one trouble from now on; Healthy ends all.
+func (d *Discovery) SetFaultNow(t FaultKind, by time.Duration) {
+	d.SetFaults(Fault{Kind: t, From: time.Since(d.start), To: 1 << 62, Delay: by})
 	if t == Refuse { // a process that has died
-		d.Break()
+		d.ResetConnections()
 	}
 }
 
-func (d *Discovery) fault() Trouble { return d.due().Trouble }
+func (d *Discovery) currentFaultKind() FaultKind { return d.currentFault().Kind }
 
-func (d *Discovery) due() Fault {
+func (d *Discovery) currentFault() Fault {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	at := time.Since(d.start)
@@ -63,62 +63,62 @@
 	return Fault{}
 }
 
-// spoil answers as the trouble of the moment has it; done says that the call is over. One that is only late is so when
+// applyFault answers as the trouble of the moment has it; done says that the call is over. One that is only late is so when
 // it would be answered.
-func (d *Discovery) spoil(p *peer, answered bool) (done bool, err error) {
-	f := d.due()
-	switch f.Trouble {
+func (d *Discovery) applyFault(p *senderConn, answered bool) (done bool, err error) {
+	f := d.currentFault()
+	switch f.Kind {
 	case Refuse, Reset:
 		return true, io.ErrClosedPipe
-	case Silent:
-		return true, errSilent
-	case Nonsense:
-		return true, p.reply("200 OK", "text/html", []byte("<html><body>It works!</body></html>\n"))
+	case Unresponsive:
+		return true, errUnresponsive
+	case InvalidList:
+		return true, p.writeResponse("200 OK", "text/html", []byte("<html><body>It works!</body></html>\n"))
 	case Overload:
-		return true, p.reply("503 Service Unavailable", "", nil)
-	case Cut:
-		text := d.wholeText()
-		d.tally(p.sender, func(c *Count) { c.Whole++ })
+		return true, p.writeResponse("503 Service Unavailable", "", nil)
+	case TruncatedList:
+		text := d.encodedList()
+		d.countTraffic(p.sender, func(c *Traffic) { c.WholeLists++ })
 		var b bytes.Buffer
-		answerHead(&b, len(text))
+		writeResponseHead(&b, len(text))
 		b.Write(text[:len(text)/2])
-		if err := p.send(b.Bytes()); err != nil {
+		if err := p.writePaced(b.Bytes()); err != nil {
 			return true, err
 		}
 		return true, io.ErrClosedPipe
-	case Older:
-		d.wholeText()
-		return true, p.reply("200 OK", "application/json", d.old)
-	case Endless:
-		return true, d.endless(p)
-	case Late:
+	case OlderList:
+		d.encodedList()
+		return true, p.writeResponse("200 OK", "application/json", d.olderList)
+	case EndlessList:
+		return true, d.writeEndlessList(p)
+	case Delayed:
 		if answered {
-			time.Sleep(f.By)
+			time.Sleep(f.Delay)
 		}
 	}
 	return false, nil
 }
 
-func (d *Discovery) wholeText() []byte {
+func (d *Discovery) encodedList() []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.text()
+	return d.encodedListLocked()
 }
 
-// endless sends entries, each a new one, until the sender has had enough. A list comes at 64 MB a second at most.
-func (d *Discovery) endless(p *peer) error {
+// writeEndlessList sends entries, each a new one, until the sender has had enough. A list comes at 64 MB a second at most.
+func (d *Discovery) writeEndlessList(p *senderConn) error {
 	var b bytes.Buffer
-	answerHead(&b, -1)
-	b.Write(head(nil, d.Generation()+1, true))
-	d.tally(p.sender, func(c *Count) { c.Whole++ })
+	writeResponseHead(&b, -1)
+	b.Write(appendListHead(nil, d.Generation()+1, true))
+	d.countTraffic(p.sender, func(c *Traffic) { c.WholeLists++ })
 	for i := 0; ; {
-		for b.Len() < piece {
-			r := Row{ID: "endless-" + time.Duration(i).String(), HostPort: "10.255.0.1:1", Zone: "a", Kind: "std", Dest: 1,
+		for b.Len() < writeChunkBytes {
+			r := Row{ID: "endless-" + time.Duration(i).String(), HostPort: "10.255.0.1:1", Zone: "a", MachineType: "std", Destination: 1,
 				Lifecycle: "up", Weight: 1}
-			b.Write(append(r.append(nil), ','))
+			b.Write(append(r.appendJSON(nil), ','))
 			i++
 		}
-		if err := p.send(b.Bytes()); err != nil {
+		if err := p.writePaced(b.Bytes()); err != nil {
 			return err
 		}
 		b.Reset()
@@ -126,8 +126,8 @@
 	}
 }
 
-// answerHead begins an answer of so many bytes; with -1 it goes on until the connection ends.
-func answerHead(b *bytes.Buffer, size int) {
+// writeResponseHead begins an answer of so many bytes; with -1 it goes on until the connection ends.
+func writeResponseHead(b *bytes.Buffer, size int) {
 	b.WriteString("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n")
 	if size >= 0 {
 		b.WriteString("Content-Length: " + itoa(size) + "\r\n\r\n")
--- a/internal/scale/standin/network.go
+++ b/internal/scale/standin/network.go
@@ -16,29 +16,29 @@
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
-	away      func(host string) bool
-	port      int
+	isolated  func(host string) bool
+	lastPort  int
 }
 
 // NewNetwork makes one with nobody in it.
 func NewNetwork() *Network {
-	return &Network{listeners: map[string]*listener{}, away: func(string) bool { return false }}
+	return &Network{listeners: map[string]*listener{}, isolated: func(string) bool { return false }}
 }
 
-// Cut cuts the hosts off for which away holds; nil ends that.
-func (n *Network) Cut(away func(host string) bool) {
+// Partition cuts the hosts off for which away holds; nil ends that.
+func (n *Network) Partition(away func(host string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if away == nil {
 		away = func(string) bool { return false }
 	}
-	n.away = away
+	n.isolated = away
 }
 
-func (n *Network) isAway(host string) bool {
+func (n *Network) isIsolated(host string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.away(host)
+	return n.isolated(host)
 }
 
 // Listen opens an address.
@@ -48,30 +48,30 @@
 	if n.listeners[addr] != nil {
 		return nil, syscall.EADDRINUSE
 	}
-	l := &listener{n: n, addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
+	l := &listener{network: n, addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
 	n.listeners[addr] = l
 	return l, nil
 }
 
 // Dial connects a host with an address.
 func (n *Network) Dial(ctx context.Context, host, to string) (net.Conn, error) {
-	if n.isAway(host) {
+	if n.isIsolated(host) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	n.mu.Lock()
 	l := n.listeners[to]
-	n.port++
-	port := n.port
+	n.lastPort++
+	port := n.lastPort
 	n.mu.Unlock()
 	if l == nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
 	a, b := net.Pipe()
-	r := &route{n: n, host: host}
+	r := &connState{network: n, host: host}
 	here, there := address(fmt.Sprintf("%s:%d", host, port)), address(to)
-	client := &end{Conn: a, r: r, local: here, remote: there}
-	server := &end{Conn: b, r: r, local: there, remote: here}
+	client := &connEnd{Conn: a, state: r, local: here, remote: there}
+	server := &connEnd{Conn: b, state: r, local: there, remote: here}
 	select {
 	case l.conns <- server:
 		return client, nil
@@ -82,25 +82,25 @@
 	}
 }
 
-// route is one connection; once something was lost on it nothing comes through any more.
-type route struct {
-	n    *Network
-	host string
-	lost atomic.Bool
+// connState is one connection; once something was lost on it nothing comes through any more.
+type connState struct {
+	network *Network
+	host    string
+	broken  atomic.Bool
 }
 
-type end struct {
+type connEnd struct {
 	net.Conn
-	r             *route
+	state         *connState
 	local, remote address
 }
 
-func (e *end) LocalAddr() net.Addr  { return e.local }
-func (e *end) RemoteAddr() net.Addr { return e.remote }
+func (e *connEnd) LocalAddr() net.Addr  { return e.local }
+func (e *connEnd) RemoteAddr() net.Addr { return e.remote }
 
-func (e *end) Write(b []byte) (int, error) {
-	if e.r.lost.Load() || e.r.n.isAway(e.r.host) {
-		e.r.lost.Store(true)
+func (e *connEnd) Write(b []byte) (int, error) {
+	if e.state.broken.Load() || e.state.network.isIsolated(e.state.host) {
+		e.state.broken.Store(true)
 		return len(b), nil
 	}
 	k, err := e.Conn.Write(b)
@@ -116,11 +116,11 @@
 func (a address) String() string { return string(a) }
 
 type listener struct {
-	n     *Network
-	addr  string
-	conns chan net.Conn
-	done  chan struct{}
-	once  sync.Once
+	network *Network
+	addr    string
+	conns   chan net.Conn
+	done    chan struct{}
+	once    sync.Once
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -134,9 +134,9 @@
 
 func (l *listener) Close() error {
 	l.once.Do(func() {
-		l.n.mu.Lock()
-		delete(l.n.listeners, l.addr)
-		l.n.mu.Unlock()
+		l.network.mu.Lock()
+		delete(l.network.listeners, l.addr)
+		l.network.mu.Unlock()
 		close(l.done)
 	})
 	return nil
--- a/internal/scale/standin/socket.go
+++ b/internal/scale/standin/socket.go
@@ -8,9 +8,9 @@
 // tcpCloseWait is the state of a socket whose peer has ended its sending and has reset nothing (TCP_CLOSE_WAIT).
 const tcpCloseWait = 8
 
-// ReadByPeer says of a TCP connection whose end has been read, and whose peer has closed it by now, whether the peer had
+// PeerReadAll says of a TCP connection whose end has been read, and whose peer has closed it by now, whether the peer had
 // read all that was written to it: what lies unread at a close, or comes after it, brings a reset.
-func ReadByPeer(conn net.Conn) bool {
+func PeerReadAll(conn net.Conn) bool {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
--- a/internal/scale/standin/standin_test.go
+++ b/internal/scale/standin/standin_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-type list struct {
+type listResponse struct {
 	Generation int64
 	Reset      bool
 	Instances  []struct {
@@ -25,23 +25,23 @@
 	}
 }
 
-// world is a stand-in on a network in memory, with one sender's client.
-type world struct {
+// testSetup is a stand-in on a network in memory, with one sender's client.
+type testSetup struct {
 	*Discovery
-	net    *Network
-	client *http.Client
+	network *Network
+	client  *http.Client
 }
 
-func inMemory(t *testing.T, cfg Config, test func(w *world)) {
+func runInMemory(t *testing.T, cfg Config, test func(w *testSetup)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{New(cfg), NewNetwork(), nil}
-		ln, err := w.net.Listen("discovery:1")
+		w := &testSetup{New(cfg), NewNetwork(), nil}
+		ln, err := w.network.Listen("discovery:1")
 		if err != nil {
 			t.Fatal(err)
 		}
 		go w.Serve(ln, "")
 		tr := &http.Transport{DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
-			return w.net.Dial(ctx, "n0", addr)
+			return w.network.Dial(ctx, "n0", addr)
 		}}
 		w.client = &http.Client{Transport: tr}
 		defer func() { ln.Close(); w.Close(); tr.CloseIdleConnections() }()
@@ -49,7 +49,7 @@
 	})
 }
 
-func (w *world) get(limit time.Duration, query string) (l list, took time.Duration, err error) {
+func (w *testSetup) fetchList(limit time.Duration, query string) (l listResponse, took time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	at := time.Now()
@@ -66,18 +66,18 @@
 	return l, time.Since(at), err
 }
 
-func someRows(n int) []Row {
-	return Rows(n, 1, []string{"a", "b"}, []string{"std"}, nil)
+func testRows(n int) []Row {
+	return MakeRows(n, 1, []string{"a", "b"}, []string{"std"}, nil)
 }
 
 func TestWholeListAndChanges(t *testing.T) {
-	inMemory(t, Config{Rows: someRows(300), Generation: 40, Keep: 4}, func(w *world) {
-		l, _, err := w.get(time.Second, "")
+	runInMemory(t, Config{Rows: testRows(300), Generation: 40, KeptChanges: 4}, func(w *testSetup) {
+		l, _, err := w.fetchList(time.Second, "")
 		if err != nil || l.Generation != 40 || !l.Reset || len(l.Instances) != 300 || l.Instances[7].Cell != 7 ||
 			l.Instances[7].MachineType != "std" || l.Instances[7].HostPort != "10.0.0.7:6379" || l.Instances[7].Weight != 100 {
 			t.Fatalf("%v, %v, %d entries: %+v", l.Generation, l.Reset, len(l.Instances), err)
 		}
-		l, took, err := w.get(30*time.Second, "?from=40&hold_ms=20000")
+		l, took, err := w.fetchList(30*time.Second, "?from=40&hold_ms=20000")
 		if err != nil || took != 20*time.Second || l.Reset || l.Generation != 40 || len(l.Instances) != 0 {
 			t.Errorf("no news: %+v after %v, %v", l, took, err)
 		}
@@ -87,22 +87,22 @@
 			w.Set(r)
 		}
 		time.AfterFunc(3*time.Second, func() { change(5, "draining") })
-		l, took, err = w.get(30*time.Second, "?from=40&hold_ms=20000")
+		l, took, err = w.fetchList(30*time.Second, "?from=40&hold_ms=20000")
 		if err != nil || took != 3*time.Second || l.Reset || l.Generation != 41 || len(l.Instances) != 1 || l.Instances[0].Lifecycle != "draining" {
 			t.Errorf("news: %+v after %v, %v", l, took, err)
 		}
 		change(5, "removed")
 		change(6, "draining")
-		if l, _, _ = w.get(time.Second, "?from=40&hold_ms=20000"); l.Reset || len(l.Instances) != 2 || l.Generation != 43 {
+		if l, _, _ = w.fetchList(time.Second, "?from=40&hold_ms=20000"); l.Reset || len(l.Instances) != 2 || l.Generation != 43 {
 			t.Errorf("changes since: %+v", l)
 		}
-		if l, _, _ = w.get(time.Second, ""); len(l.Instances) != 299 || l.Generation != 43 {
+		if l, _, _ = w.fetchList(time.Second, ""); len(l.Instances) != 299 || l.Generation != 43 {
 			t.Errorf("a removed entry is still there")
 		}
 		change(7, "draining")
 		change(8, "draining")
 		for query, why := range map[string]string{"?from=40&hold_ms=1": "too old", "?from=99&hold_ms=1": "unknown", "?from=x": "none"} {
-			if l, _, _ = w.get(time.Second, query); !l.Reset || len(l.Instances) != 299 {
+			if l, _, _ = w.fetchList(time.Second, query); !l.Reset || len(l.Instances) != 299 {
 				t.Errorf("%s: no whole list", why)
 			}
 		}
@@ -110,61 +110,61 @@
 }
 
 // What is counted is what went over the connection.
-func TestCounts(t *testing.T) {
-	inMemory(t, Config{Rows: someRows(1000)}, func(w *world) {
-		w.get(time.Second, "")
+func TestTrafficStats(t *testing.T) {
+	runInMemory(t, Config{Rows: testRows(1000)}, func(w *testSetup) {
+		w.fetchList(time.Second, "")
 		time.Sleep(10 * time.Second)
-		w.get(time.Second, "?from=1&hold_ms=1")
+		w.fetchList(time.Second, "?from=1&hold_ms=1")
 		resp, err := w.client.Post("http://discovery:1/v1/outcomes", "application/json", strings.NewReader("{}\n"))
 		if err != nil || resp.StatusCode != 204 {
 			t.Fatal(resp, err)
 		}
 		resp.Body.Close()
-		s := w.Seen()
-		if c := s.BySender["n0"]; c.Calls != 2 || c.Whole != 1 || c.Notices != 1 || c.Out < int64(w.Size()) || c.Out > int64(w.Size())+600 ||
-			c.In < 200 || c.In > 1000 || s.Fleet != c || s.MostSender != c {
-			t.Errorf("counted %+v, the list has %d bytes", s, w.Size())
+		s := w.Stats()
+		if c := s.BySender["n0"]; c.Calls != 2 || c.WholeLists != 1 || c.Notices != 1 || c.BytesOut < int64(w.ListSize()) || c.BytesOut > int64(w.ListSize())+600 ||
+			c.BytesIn < 200 || c.BytesIn > 1000 || s.Total != c || s.PeakSender != c {
+			t.Errorf("counted %+v, the list has %d bytes", s, w.ListSize())
 		}
-		if s.Worst.Calls != 1 || s.Worst.Out < int64(w.Size()) || s.FirstSec.Calls != 1 || s.FirstMin.Calls != 2 {
+		if s.PeakSecond.Calls != 1 || s.PeakSecond.BytesOut < int64(w.ListSize()) || s.FirstSecond.Calls != 1 || s.FirstMinute.Calls != 2 {
 			t.Errorf("by second: %+v", s)
 		}
-		if w.ResetCounts(); w.Seen().Fleet != (Count{}) {
-			t.Errorf("after the reset: %+v", w.Seen().Fleet)
+		if w.ResetStats(); w.Stats().Total != (Traffic{}) {
+			t.Errorf("after the reset: %+v", w.Stats().Total)
 		}
 	})
 }
 
-func TestTroubles(t *testing.T) {
+func TestFaults(t *testing.T) {
 	for _, c := range []struct {
-		trouble Trouble
+		trouble FaultKind
 		within  time.Duration
 		want    string // in the error, one of these; empty for a list
 	}{
-		{Refuse, 0, "EOF|reset"}, {Reset, 0, "EOF|reset"}, {Silent, 5 * time.Second, "deadline"}, {Nonsense, 0, "invalid character '<'"},
-		{Overload, 0, "503"}, {Cut, 0, "unexpected EOF"}, {Older, 0, ""}, {Endless, 5 * time.Second, "EOF"}, {Late, 2 * time.Second, ""},
+		{Refuse, 0, "EOF|reset"}, {Reset, 0, "EOF|reset"}, {Unresponsive, 5 * time.Second, "deadline"}, {InvalidList, 0, "invalid character '<'"},
+		{Overload, 0, "503"}, {TruncatedList, 0, "unexpected EOF"}, {OlderList, 0, ""}, {EndlessList, 5 * time.Second, "EOF"}, {Delayed, 2 * time.Second, ""},
 	} {
-		inMemory(t, Config{Rows: someRows(1000), Generation: 9}, func(w *world) {
-			w.Script(Fault{Trouble: c.trouble, From: time.Second, To: 20 * time.Second, By: 2 * time.Second})
-			if l, _, err := w.get(5*time.Second, ""); err != nil || l.Generation != 9 {
+		runInMemory(t, Config{Rows: testRows(1000), Generation: 9}, func(w *testSetup) {
+			w.SetFaults(Fault{Kind: c.trouble, From: time.Second, To: 20 * time.Second, Delay: 2 * time.Second})
+			if l, _, err := w.fetchList(5*time.Second, ""); err != nil || l.Generation != 9 {
 				t.Fatalf("%v: before it began: %v", c.trouble, err)
 			}
 			time.Sleep(time.Second)
-			l, took, err := w.get(5*time.Second, "")
-			if took > c.within || !isOneOf(err, c.want) {
+			l, took, err := w.fetchList(5*time.Second, "")
+			if took > c.within || !matchesError(err, c.want) {
 				t.Errorf("%v: %v after %v", c.trouble, err, took)
 			}
-			if c.trouble == Older && (l.Generation >= 9 || !l.Reset) {
+			if c.trouble == OlderList && (l.Generation >= 9 || !l.Reset) {
 				t.Errorf("older: %+v", l)
 			}
 			time.Sleep(20 * time.Second)
-			if l, _, err := w.get(5*time.Second, ""); err != nil || l.Generation != 9 {
+			if l, _, err := w.fetchList(5*time.Second, ""); err != nil || l.Generation != 9 {
 				t.Errorf("%v: after its end: %v", c.trouble, err)
 			}
 		})
 	}
 }
 
-func isOneOf(err error, want string) bool {
+func matchesError(err error, want string) bool {
 	if err == nil || want == "" {
 		return err == nil && want == ""
 	}
@@ -172,28 +172,28 @@
 }
 
 // A lost watch stays silent; the next one is served. So it is after a cut.
-func TestLostWatch(t *testing.T) {
-	inMemory(t, Config{Rows: someRows(10)}, func(w *world) {
-		time.AfterFunc(time.Second, w.Lose)
+func TestStalledWatch(t *testing.T) {
+	runInMemory(t, Config{Rows: testRows(10)}, func(w *testSetup) {
+		time.AfterFunc(time.Second, w.StallWatches)
 		time.AfterFunc(2*time.Second, func() { w.Set(w.Row(1)) })
-		if _, took, err := w.get(25*time.Second, "?from=1&hold_ms=20000"); err == nil || took != 25*time.Second {
+		if _, took, err := w.fetchList(25*time.Second, "?from=1&hold_ms=20000"); err == nil || took != 25*time.Second {
 			t.Errorf("lost watch: %v after %v", err, took)
 		}
-		if l, took, err := w.get(25*time.Second, "?from=1&hold_ms=20000"); err != nil || took != 0 || l.Generation != 2 {
+		if l, took, err := w.fetchList(25*time.Second, "?from=1&hold_ms=20000"); err != nil || took != 0 || l.Generation != 2 {
 			t.Errorf("the next: %v after %v, %v", l, took, err)
 		}
-		time.AfterFunc(time.Second, func() { w.net.Cut(func(host string) bool { return host == "n0" }) })
+		time.AfterFunc(time.Second, func() { w.network.Partition(func(host string) bool { return host == "n0" }) })
 		time.AfterFunc(2*time.Second, func() { w.Set(w.Row(1)) })
-		time.AfterFunc(9*time.Second, func() { w.net.Cut(nil) })
-		if _, took, err := w.get(12*time.Second, "?from=2&hold_ms=20000"); err == nil || took != 12*time.Second {
+		time.AfterFunc(9*time.Second, func() { w.network.Partition(nil) })
+		if _, took, err := w.fetchList(12*time.Second, "?from=2&hold_ms=20000"); err == nil || took != 12*time.Second {
 			t.Errorf("a watch that was cut: %v after %v", err, took)
 		}
-		if l, took, err := w.get(25*time.Second, "?from=2&hold_ms=20000"); err != nil || took != 0 || l.Generation != 3 {
+		if l, took, err := w.fetchList(25*time.Second, "?from=2&hold_ms=20000"); err != nil || took != 0 || l.Generation != 3 {
 			t.Errorf("after the cut: %v after %v, %v", l, took, err)
 		}
-		w.net.Cut(func(string) bool { return true })
+		w.network.Partition(func(string) bool { return true })
 		w.client.CloseIdleConnections()
-		if _, took, err := w.get(3*time.Second, ""); err == nil || took != 3*time.Second {
+		if _, took, err := w.fetchList(3*time.Second, ""); err == nil || took != 3*time.Second {
 			t.Errorf("a connection in a cut: %v after %v", err, took)
 		}
 	})
@@ -202,7 +202,7 @@
 // Machines share the senders, and each sends at its own pace.
 func TestBandwidth(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d, n := New(Config{Rows: someRows(1000), Machines: 2, Bandwidth: 100_000}), NewNetwork()
+		d, n := New(Config{Rows: testRows(1000), Machines: 2, Bandwidth: 100_000}), NewNetwork()
 		ln, _ := n.Listen("discovery:1")
 		go d.Serve(ln, "")
 		defer func() { ln.Close(); d.Close() }()
@@ -213,8 +213,8 @@
 					return n.Dial(ctx, fmt.Sprint("n", i), addr)
 				}}
 				defer tr.CloseIdleConnections()
-				w := &world{d, n, &http.Client{Transport: tr}}
-				_, at, err := w.get(time.Minute, "")
+				w := &testSetup{d, n, &http.Client{Transport: tr}}
+				_, at, err := w.fetchList(time.Minute, "")
 				if err != nil {
 					t.Error(err)
 				}
@@ -225,7 +225,7 @@
 		for range 4 {
 			most = max(most, <-took)
 		}
-		if want := 2 * float64(d.Size()) / 100_000; most.Seconds() < want || most.Seconds() > want*1.05 {
+		if want := 2 * float64(d.ListSize()) / 100_000; most.Seconds() < want || most.Seconds() > want*1.05 {
 			t.Errorf("two lists from one machine took %v, want %.3f s", most, want)
 		}
 	})
@@ -233,7 +233,7 @@
 
 // On real sockets: a sender is the listener that it calls.
 func TestRealSockets(t *testing.T) {
-	d := New(Config{Rows: someRows(1000)})
+	d := New(Config{Rows: testRows(1000)})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -246,7 +246,7 @@
 			return err
 		}
 		defer resp.Body.Close()
-		var l list
+		var l listResponse
 		if err := json.NewDecoder(resp.Body).Decode(&l); err != nil || len(l.Instances) != 1000 {
 			return fmt.Errorf("%d entries, %w", len(l.Instances), err)
 		}
@@ -255,14 +255,14 @@
 	if err := get(); err != nil {
 		t.Error(err)
 	}
-	if c := d.Seen().BySender["n7"]; c.Calls != 1 || c.Whole != 1 || c.Out < int64(d.Size()) {
+	if c := d.Stats().BySender["n7"]; c.Calls != 1 || c.WholeLists != 1 || c.BytesOut < int64(d.ListSize()) {
 		t.Errorf("counted %+v", c)
 	}
-	d.Now(Refuse, 0)
+	d.SetFaultNow(Refuse, 0)
 	if err := get(); err == nil {
 		t.Error("refused, and yet it answers")
 	}
-	d.Now(Healthy, 0)
+	d.SetFaultNow(Healthy, 0)
 	if err := get(); err != nil {
 		t.Error(err)
 	}
--- a/internal/scale/target.go
+++ b/internal/scale/target.go
@@ -4,23 +4,23 @@
 
 // The target, as figures for the whole fleet and for one sender of it.
 const (
-	TargetSenders      = 540
-	TargetRate         = 1.1e6 // events a second, all senders together
-	TargetDestinations = 100_000
-	TargetEntries      = 200_000                         // rows of the list, as the bound
-	TargetDown         = 0.017                           // share of the destinations that is down at any time
-	TargetChanges      = 1400                            // changes of configuration a day
-	TargetInForce      = 17                              // seconds until one is in force everywhere
-	DestRate           = TargetRate / TargetDestinations // 11 events a second at a mean destination
-	SenderRate         = TargetRate / TargetSenders      // 2,037 events a second
-	SenderRateZone     = SenderRate * 6 / 5              // with one of six zones lost: 2,444
-	SenderRateRegion   = SenderRate * 2                  // with one of two regions lost: 4,074
-	ControlCore        = 0.02                            // of a core, what a sender may spend for control
-	ControlBytes       = 256e6                           // bytes of memory, the same
-	ControlTraffic     = 9e3                             // bytes a second, the same
-	SenderBacklog      = 9.3e9 / TargetSenders           // 17.2 million events
-	// SenderEach is the events a second that one sender has for a mean destination: 0.02.
-	SenderEach = DestRate / TargetSenders
+	TargetSenders         = 540
+	TargetEventRate       = 1.1e6 // events a second, all senders together
+	TargetDestinations    = 100_000
+	TargetEntries         = 200_000                              // rows of the list, as the bound
+	TargetDownShare       = 0.017                                // share of the destinations that is down at any time
+	TargetChangesPerDay   = 1400                                 // changes of configuration a day
+	TargetInForceSeconds  = 17                                   // seconds until one is in force everywhere
+	DestinationRate       = TargetEventRate / TargetDestinations // 11 events a second at a mean destination
+	SenderRate            = TargetEventRate / TargetSenders      // 2,037 events a second
+	SenderRateZoneLost    = SenderRate * 6 / 5                   // with one of six zones lost: 2,444
+	SenderRateRegionLost  = SenderRate * 2                       // with one of two regions lost: 4,074
+	ControlCoreShare      = 0.02                                 // of a core, what a sender may spend for control
+	ControlMemoryBytes    = 256e6                                // bytes of memory, the same
+	ControlBytesPerSecond = 9e3                                  // bytes a second, the same
+	SenderBacklog         = 9.3e9 / TargetSenders                // 17.2 million events
+	// SenderDestinationRate is the events a second that one sender has for a mean destination: 0.02.
+	SenderDestinationRate = DestinationRate / TargetSenders
 )
 
 // Settings are those of a sender of a fleet of so many in the deployment that the measurements assume: three classes
--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -40,7 +40,7 @@
 
 // discoveryFault is a period in which calls for the list failed.
 type discoveryFault struct {
-	kind      standin.Trouble
+	kind      standin.FaultKind
 	startedAt time.Time
 	endedAt   time.Time // zero while the fault lasts
 }
@@ -57,7 +57,7 @@
 		return err
 	}
 	a.listener = listener
-	a.discovery = standin.New(standin.Config{Rows: append([]standin.Row(nil), a.rows...), Generation: generation, Noticed: a.recordNotice})
+	a.discovery = standin.New(standin.Config{Rows: append([]standin.Row(nil), a.rows...), Generation: generation, OnNotice: a.recordNotice})
 	go a.discovery.Serve(listener, "sender")
 	return nil
 }
@@ -101,14 +101,14 @@
 }
 
 // beginFault makes calls for the list fail from now on, until endFaults.
-func (a *agent) beginFault(kind standin.Trouble) {
+func (a *agent) beginFault(kind standin.FaultKind) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.faults = append(a.faults, discoveryFault{kind: kind, startedAt: time.Now()})
-	if kind == standin.Silent {
+	if kind == standin.Unresponsive {
 		a.unreachable = true
 	}
-	a.discovery.Now(kind, 0)
+	a.discovery.SetFaultNow(kind, 0)
 }
 
 // endFaults ends the faults that beginFault began.
@@ -120,7 +120,7 @@
 			a.faults[i].endedAt = time.Now()
 		}
 	}
-	a.discovery.Now(standin.Healthy, 0)
+	a.discovery.SetFaultNow(standin.Healthy, 0)
 	a.unreachable = false
 	for _, row := range a.pendingRows {
 		a.apply(row)
@@ -133,7 +133,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.watchLosses = append(a.watchLosses, time.Now())
-	a.discovery.Lose()
+	a.discovery.StallWatches()
 }
 
 // moveAddress opens another address with its own generations. The old address accepts no new connections, and closes the
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -90,7 +90,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, conn := range l.endedConns {
-		read := standin.ReadByPeer(conn.Conn)
+		read := standin.PeerReadAll(conn.Conn)
 		for _, request := range conn.unanswered {
 			request.ReadBySender = read
 		}
--- a/internal/soak/judge.go
+++ b/internal/soak/judge.go
@@ -242,7 +242,7 @@
 		}
 	}
 	return slices.ContainsFunc(process.agent.faults, func(fault discoveryFault) bool {
-		return fault.kind == standin.Silent && fault.startedAt.Before(nextStart) && fault.endedAt.After(calledAt.Add(-watchReconnectSlack))
+		return fault.kind == standin.Unresponsive && fault.startedAt.Before(nextStart) && fault.endedAt.After(calledAt.Add(-watchReconnectSlack))
 	})
 }
 
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -121,8 +121,8 @@
 
 // planDiscoveryFaults makes calls for the list fail at one sender's agent, and may make its open watches unresponsive.
 func (p *Plan) planDiscoveryFaults(h *Harness, sender *managedSender, rng *rand.Rand) {
-	kinds := []standin.Trouble{standin.Silent, standin.Nonsense, standin.Cut, standin.Overload, standin.Older, standin.Reset,
-		standin.Endless}
+	kinds := []standin.FaultKind{standin.Unresponsive, standin.InvalidList, standin.TruncatedList, standin.Overload, standin.OlderList, standin.Reset,
+		standin.EndlessList}
 	for at := time.Duration(rng.Int64N(int64(5 * time.Second))); at < h.cfg.FaultPeriod; {
 		length := minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
 		kind := kinds[rng.IntN(len(kinds))]
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -161,7 +161,7 @@
 }
 
 func (h *Harness) row(e *endpoint, lifecycle string) standin.Row {
-	return standin.Row{ID: e.id, HostPort: e.address(), Zone: "a", Kind: "std", Dest: e.destination, Lifecycle: lifecycle, Weight: 200}
+	return standin.Row{ID: e.id, HostPort: e.address(), Zone: "a", MachineType: "std", Destination: e.destination, Lifecycle: lifecycle, Weight: 200}
 }
 
 // announce passes a change to every agent.
@@ -186,8 +186,8 @@
 	}
 	var known []map[string]any
 	for _, row := range rows {
-		known = append(known, map[string]any{"instanceId": row.ID, "hostPort": row.HostPort, "zone": row.Zone, "machineType": row.Kind,
-			"cell": row.Dest, "lifecycle": row.Lifecycle, "weight": row.Weight, "startedAtMs": 0})
+		known = append(known, map[string]any{"instanceId": row.ID, "hostPort": row.HostPort, "zone": row.Zone, "machineType": row.MachineType,
+			"cell": row.Destination, "lifecycle": row.Lifecycle, "weight": row.Weight, "startedAtMs": 0})
 	}
 	text, err := json.Marshal(map[string]any{"name": name, "listen": listen, "discovery": discovery,
 		"seed":   fmt.Sprintf("%x", seed),
