--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -1,5 +1,7 @@
 package node
 
+// The admin server, on which operators query readiness and disable or enable endpoints.
+
 import (
 	"bufio"
 	"cmp"
@@ -18,10 +20,10 @@
 )
 
 const (
-	maxCommandBytes  = 256                    // bytes of a call, with its end of line
-	commandIOTimeout = 2 * time.Second        // for a caller to send its line
-	commandTimeout   = 800 * time.Millisecond // for the loop to carry it out: an answer is due within a second
-	maxOperatorConns = 24                     // callers at once
+	maxCommandBytes  = 256                    // of a call, with its end of line
+	commandIOTimeout = 2 * time.Second        // for reading a call, and for writing its answer
+	commandTimeout   = 800 * time.Millisecond // for the loop to carry out a call: an answer is due within 1 s
+	maxOperatorConns = 24                     // connections at once
 )
 
 var (
@@ -30,57 +32,58 @@
 	errTooBusy  = errors.New("the sender is too busy")
 )
 
-// operatorCommand is an operator's word on an endpoint. The loop carries it out and says why not, if it cannot.
+// operatorCommand enables or disables an endpoint. The loop carries it out and answers nil, or why that failed.
 type operatorCommand struct {
-	enable   bool // put it back, not take it out
+	enable   bool // enable the endpoint; false disables it
 	endpoint string
 	answer   chan<- error
 }
 
-// adminServer answers operators: one line in and one line out for each connection. It opens before the sender can serve, so
-// that ready can say no.
+// adminServer answers operators: each connection sends one line, the call, and receives one line. It starts
+// before the sender can serve clients, so that the call "ready" can report that.
 type adminServer struct {
 	log           *slog.Logger
 	commands      chan<- operatorCommand
 	maxConns      int
 	mu            sync.Mutex
 	addr          net.Addr
-	notReady      error // why this process cannot serve; nil once it can
+	notReady      error // why this process cannot serve clients; nil if it can
 	conns         map[net.Conn]*operatorConn
-	successorAddr string        // where to pass calls on, after a handover; empty before
+	successorAddr string        // after a handover, where calls are forwarded; empty before
 	handedOver    chan struct{} // closed at a handover
 	wg            sync.WaitGroup
 }
 
-// operatorConn is a caller of the admin server.
+// operatorConn is a connection of the admin server.
 type operatorConn struct {
 	connectedAt time.Time
-	received    bool // its line has come
+	received    bool // its call has been read
 }
 
-func newAdminServer(log *slog.Logger, sockets int, orders chan<- operatorCommand) *adminServer {
-	return &adminServer{log: log, commands: orders, maxConns: min(maxOperatorConns, max(sockets/16, 4)), notReady: errStarting,
-		conns: map[net.Conn]*operatorConn{}, handedOver: make(chan struct{})}
+func newAdminServer(log *slog.Logger, sockets int, commands chan<- operatorCommand) *adminServer {
+	return &adminServer{log: log, commands: commands, maxConns: min(maxOperatorConns, max(sockets/16, 4)),
+		notReady: errStarting, conns: map[net.Conn]*operatorConn{}, handedOver: make(chan struct{})}
 }
 
-// setReadiness says from now on that this process can serve, or why it cannot.
-func (d *adminServer) setReadiness(err error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.notReady = err
+// setReadiness sets why this process cannot serve clients; nil means that it can.
+func (s *adminServer) setReadiness(err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.notReady = err
 }
 
-// redirect passes calls on to the admin server of the process that has taken over; "-" if it has none.
-func (d *adminServer) redirect(next string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.successorAddr = next
-	close(d.handedOver)
+// redirect makes calls go to the admin server of the process that has taken over; successorAddr is "-" if it
+// has none.
+func (s *adminServer) redirect(successorAddr string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.successorAddr = successorAddr
+	close(s.handedOver)
 }
 
-// forward asks the admin server of the process that has taken over.
-func (d *adminServer) forward(call string) error {
-	conn, err := net.DialTimeout("tcp", d.successorAddr, commandTimeout)
+// forward sends a call to the admin server of the process that has taken over.
+func (s *adminServer) forward(call string) error {
+	conn, err := net.DialTimeout("tcp", s.successorAddr, commandTimeout)
 	if err != nil {
 		return errHandedOver
 	}
@@ -89,217 +92,217 @@
 	if _, err := io.WriteString(conn, call+"\n"); err != nil {
 		return errHandedOver
 	}
-	said, err := bufio.NewReader(io.LimitReader(conn, maxCommandBytes)).ReadString('\n')
+	answer, err := bufio.NewReader(io.LimitReader(conn, maxCommandBytes)).ReadString('\n')
 	if err != nil {
 		return errHandedOver
 	}
-	if said = strings.TrimSpace(said); said != "ok" {
-		return errors.New(strings.TrimPrefix(said, "fail "))
+	if answer = strings.TrimSpace(answer); answer != "ok" {
+		return errors.New(strings.TrimPrefix(answer, "fail "))
 	}
 	return nil
 }
 
-// listen opens the address; serve must follow.
-func (d *adminServer) listen(addr string) (net.Listener, error) {
+// listen opens the listener. The caller must pass it to serve.
+func (s *adminServer) listen(addr string) (net.Listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("admin server: %w", err)
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.addr = ln.Addr()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.addr = ln.Addr()
 	return ln, nil
 }
 
-// address is where operators call; nil before it is open.
-func (d *adminServer) address() net.Addr {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.addr
+// address returns the address of the listener, nil before listen.
+func (s *adminServer) address() net.Addr {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.addr
 }
 
-// readiness is why this process cannot serve; nil if it can.
-func (d *adminServer) readiness() error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.notReady
+// readiness returns why this process cannot serve clients, nil if it can.
+func (s *adminServer) readiness() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.notReady
 }
 
-// serve answers callers until ctx is over and all have left.
-func (d *adminServer) serve(ctx context.Context, ln net.Listener) {
-	defer d.wg.Wait()
-	defer context.AfterFunc(ctx, func() { ln.Close(); d.wakeSilent() })()
+// serve answers operators until ctx is over, and returns when all connections are closed.
+func (s *adminServer) serve(ctx context.Context, ln net.Listener) {
+	defer s.wg.Wait()
+	defer context.AfterFunc(ctx, func() { ln.Close(); s.wakeSilent() })()
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			d.log.Warn("admin server", "err", err)
-			time.Sleep(shortRetryDelay) // out of descriptors, say: one that closes makes room
+			s.log.Warn("admin server", "err", err)
+			time.Sleep(shortRetryDelay) // possibly out of descriptors: wait for a connection to close
 			continue
 		}
-		if !d.addConn(conn) {
+		if !s.addConn(conn) {
 			conn.Close()
 			continue
 		}
-		d.wg.Go(func() {
-			d.handle(ctx, conn)
-			d.closeConn(conn)
+		s.wg.Go(func() {
+			s.handle(ctx, conn)
+			s.closeConn(conn)
 		})
 	}
 }
 
-// addConn counts a caller in. With the table full, the one that has been silent longest makes room: silent callers
-// must not keep others out.
-func (d *adminServer) addConn(conn net.Conn) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.conns) >= d.maxConns && !d.evictSilent() {
-		return false // all wait for their answers, which come soon
+// addConn adds a connection to the table. If the table is full, the oldest connection that has sent no call is
+// evicted, so that idle connections do not block others. It returns false if there is none.
+func (s *adminServer) addConn(conn net.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.conns) >= s.maxConns && !s.evictSilent() {
+		return false // all connections wait for their answers, which come soon
 	}
-	d.conns[conn] = &operatorConn{connectedAt: time.Now()}
+	s.conns[conn] = &operatorConn{connectedAt: time.Now()}
 	return true
 }
 
-// evictSilent drops the caller that has been silent longest, false if none is silent. Its handler wakes and closes the
-// connection. The caller of makeRoom holds d.mu.
-func (d *adminServer) evictSilent() bool {
+// evictSilent evicts the oldest connection that has sent no call; false if there is none. Its handler wakes and
+// closes the connection. The caller of evictSilent holds s.mu.
+func (s *adminServer) evictSilent() bool {
 	var oldest net.Conn
-	for c, x := range d.conns {
-		if !x.received && (oldest == nil || x.connectedAt.Before(d.conns[oldest].connectedAt)) {
-			oldest = c
+	for conn, caller := range s.conns {
+		if !caller.received && (oldest == nil || caller.connectedAt.Before(s.conns[oldest].connectedAt)) {
+			oldest = conn
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	delete(d.conns, oldest)
+	delete(s.conns, oldest)
 	oldest.SetReadDeadline(time.Unix(1, 0))
 	return true
 }
 
-// markReceived notes that a caller's line has come; false if the caller had to make room.
-func (d *adminServer) markReceived(conn net.Conn) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	x := d.conns[conn]
-	if x != nil {
-		x.received = true
+// markReceived records that the call of a connection has been read; false if the connection was evicted.
+func (s *adminServer) markReceived(conn net.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	caller := s.conns[conn]
+	if caller != nil {
+		caller.received = true
 	}
-	return x != nil
+	return caller != nil
 }
 
-// closeConn closes a caller's connection once its answer has arrived.
-func (d *adminServer) closeConn(conn net.Conn) {
+// closeConn closes a connection after its answer has arrived.
+func (s *adminServer) closeConn(conn net.Conn) {
 	awaitAck(conn)
 	conn.Close()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	delete(d.conns, conn)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.conns, conn)
 }
 
-// wakeSilent wakes those that have not sent their line.
-func (d *adminServer) wakeSilent() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for conn, x := range d.conns {
-		if !x.received {
+// wakeSilent wakes the handlers of connections that have sent no call.
+func (s *adminServer) wakeSilent() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for conn, caller := range s.conns {
+		if !caller.received {
 			conn.SetReadDeadline(time.Unix(1, 0))
 		}
 	}
 }
 
-func (d *adminServer) handle(ctx context.Context, conn net.Conn) {
+func (s *adminServer) handle(ctx context.Context, conn net.Conn) {
 	conn.SetDeadline(time.Now().Add(commandIOTimeout))
 	line, err := bufio.NewReaderSize(io.LimitReader(conn, maxCommandBytes), maxCommandBytes).ReadString('\n')
-	switch admitted := d.markReceived(conn); {
+	switch admitted := s.markReceived(conn); {
 	case !admitted && err != nil:
-		return // it made room, and nothing whole has come
+		return // evicted, and no complete call has arrived
 	case !admitted:
 		err = errTooBusy
 	case err == nil:
-		err = d.answer(ctx, strings.Fields(line))
+		err = s.answer(ctx, strings.Fields(line))
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		err = errors.New("no call came in time")
 	case len(line) >= maxCommandBytes:
 		err = errors.New("the call is too long")
-	default: // half a call might name another endpoint than the whole one
+	default: // an incomplete call might name another endpoint
 		err = errors.New("the call has no end of line")
 	}
-	said := "ok\n"
+	answer := "ok\n"
 	if err != nil {
-		said = "fail " + err.Error() + "\n"
+		answer = "fail " + err.Error() + "\n"
 	}
 	conn.SetWriteDeadline(time.Now().Add(commandIOTimeout))
-	if _, err := io.WriteString(conn, said); err != nil {
-		d.log.Warn("admin server", "err", err)
+	if _, err := io.WriteString(conn, answer); err != nil {
+		s.log.Warn("admin server", "err", err)
 	}
 }
 
-// answer carries out a call and says why not, if it cannot.
-func (d *adminServer) answer(ctx context.Context, words []string) error {
+// answer carries out a call and returns why that failed.
+func (s *adminServer) answer(ctx context.Context, words []string) error {
 	if len(words) == 0 {
 		return errors.New("the call is empty")
 	}
-	want := 2
+	wantWords := 2
 	if words[0] == "ready" {
-		want = 1
+		wantWords = 1
 	}
 	switch words[0] {
 	case "ready", "disable-server", "enable-server":
-		if len(words) != want {
-			return fmt.Errorf("%s wants %d words", words[0], want)
+		if len(words) != wantWords {
+			return fmt.Errorf("%s wants %d words", words[0], wantWords)
 		}
 	default:
 		return errors.New("unknown call; there are ready, disable-server ID and enable-server ID")
 	}
-	if want == 1 {
-		return d.readiness()
+	if wantWords == 1 {
+		return s.readiness()
 	}
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	answer := make(chan error, 1) // the loop never waits for us
+	answer := make(chan error, 1) // buffered, so that the loop never waits for this goroutine
 	select {
-	case d.commands <- operatorCommand{enable: words[0] == "enable-server", endpoint: words[1], answer: answer}:
-	case <-d.handedOver:
-		return d.forward(strings.Join(words, " "))
+	case s.commands <- operatorCommand{enable: words[0] == "enable-server", endpoint: words[1], answer: answer}:
+	case <-s.handedOver:
+		return s.forward(strings.Join(words, " "))
 	case <-ctx.Done():
-		return cmp.Or(d.readiness(), errTooBusy)
+		return cmp.Or(s.readiness(), errTooBusy)
 	}
 	select {
 	case err := <-answer:
-		d.log.Info("operator", "call", words[0], "id", words[1], "err", err)
+		s.log.Info("operator", "call", words[0], "id", words[1], "err", err)
 		return err
 	case <-ctx.Done():
 		return errors.New("the sender is too busy; the call may hold all the same")
 	}
 }
 
-// applyCommand carries out an operator's word. It holds once it is in the journal, so that it outlives the process; the
-// module hears of it before anything else happens.
-func (n *Node) applyCommand(o operatorCommand) {
-	ep, known := n.directory.LookupID(o.endpoint)
+// applyCommand enables or disables an endpoint. The change takes effect once it is in the journal, so that it
+// survives a restart. The decision logic gets it with its next step, before any other action.
+func (n *Node) applyCommand(command operatorCommand) {
+	endpoint, known := n.directory.LookupID(command.endpoint)
 	if !known {
-		o.answer <- errors.New("no such endpoint")
+		command.answer <- errors.New("no such endpoint")
 		return
 	}
-	if out := n.journal.disabled[o.endpoint]; out != o.enable {
-		o.answer <- nil // it is so already
+	if disabled := n.journal.disabled[command.endpoint]; disabled != command.enable {
+		command.answer <- nil // already in that state
 		return
 	}
-	rec, ev := record{Op: opDisableEndpoint, ID: o.endpoint}, logic.Event(logic.Ban{Endpoint: ep})
-	if o.enable {
-		rec, ev = record{Op: opEnableEndpoint, ID: o.endpoint}, logic.Unban{Endpoint: ep}
+	rec, ev := record{Op: opDisableEndpoint, ID: command.endpoint}, logic.Event(logic.Ban{Endpoint: endpoint})
+	if command.enable {
+		rec, ev = record{Op: opEnableEndpoint, ID: command.endpoint}, logic.Unban{Endpoint: endpoint}
 	}
 	if err := n.journal.Append([]record{rec}); err != nil {
 		n.log.Error("journal", "err", err)
-		o.answer <- errors.New("not written to the journal")
+		command.answer <- errors.New("not written to the journal")
 		return
 	}
-	if !o.enable {
-		n.withholdCalls(func(x logic.EndpointID) bool { return x == ep })
+	if !command.enable {
+		n.withholdCalls(func(id logic.EndpointID) bool { return id == endpoint })
 	}
 	n.nextEvents = append(n.nextEvents, ev)
-	o.answer <- nil
+	command.answer <- nil
 }
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -13,7 +13,7 @@
 	"crossdeal/internal/discovery"
 )
 
-// callOperator makes an operator's call and returns the whole answer.
+// callOperator sends a call to the admin server and returns all that it answers.
 func callOperator(t *testing.T, addr, call string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -40,7 +40,7 @@
 	}
 }
 
-// startNodeWithAdmin is a sender with an admin server.
+// startNodeWithAdmin starts a sender with an admin server.
 func startNodeWithAdmin(t *testing.T, p *testPlatform, dir string, known discovery.List) *testNode {
 	t.Helper()
 	cfg, err := ParseConfig(configText(p, known))
@@ -51,8 +51,8 @@
 	return startNodeWithConfig(t, cfg, dir)
 }
 
-// What an operator takes out gets nothing until it is put back: not by a whole list, not by a return to the list,
-// not by a restart of the sender.
+// A disabled endpoint gets no calls until it is enabled: neither a complete list, nor its removal from the list
+// and return, nor a restart of the sender enables it.
 func TestDisabledEndpointGetsNothingUntilEnabled(t *testing.T) {
 	p, dir := newTestPlatform(t), t.TempDir()
 	a, b := newTestEndpoint(t), newTestEndpoint(t)
@@ -61,7 +61,7 @@
 	n := startNodeWithAdmin(t, p, dir, known)
 	c := dialClient(t, n.addr)
 	admin := n.admin.address().String()
-	round := func(c *testClient, how string) { // rotation would come to each of the two
+	expectCallsOnlyAtB := func(c *testClient, how string) { // without the ban, rotation would reach both endpoints
 		t.Helper()
 		for i := range 4 {
 			c.put(fmt.Sprintf("%s-%d", how, i), "unsafe", "+OK")
@@ -71,14 +71,14 @@
 	}
 	expectOperatorAnswer(t, admin, "ready", "ok")
 	expectOperatorAnswer(t, admin, "disable-server s-0", "ok")
-	round(c, "out")
-	expectOperatorAnswer(t, admin, "disable-server s-0", "ok") // no second call back will be needed
+	expectCallsOnlyAtB(c, "out")
+	expectOperatorAnswer(t, admin, "disable-server s-0", "ok") // disabling twice needs only one enable-server
 	for i, list := range []discovery.List{{Reset: true, Instances: instancesOf(a, b)}, {Instances: []discovery.Instance{{ID: "s-0", Destination: 1, Lifecycle: "removed"}}},
 		{Instances: instancesOf(a)}} {
 		list.Generation = int64(2 + i)
 		p.update(func() { p.list = list })
 		awaitListRequestFrom(t, p, 2+i)
-		round(c, fmt.Sprintf("list-%d", i))
+		expectCallsOnlyAtB(c, fmt.Sprintf("list-%d", i))
 	}
 	n.stop()
 	if err := await(t, n.done, "end"); err != nil {
@@ -86,17 +86,18 @@
 	}
 	n = startNodeWithAdmin(t, p, dir, known)
 	admin, c = n.admin.address().String(), dialClient(t, n.addr)
-	round(c, "again")
+	expectCallsOnlyAtB(c, "again")
 	expectOperatorAnswer(t, admin, "enable-server s-0", "ok")
 	expectOperatorAnswer(t, admin, "enable-server s-0", "ok")
 	for i := range 2 {
 		c.put(fmt.Sprintf("back-%d", i), "unsafe", "+OK")
 	}
-	await(t, a.calls, "call to the one put back").reply(200)
-	await(t, b.calls, "call to the other").reply(200)
+	await(t, a.calls, "call to the enabled endpoint").reply(200)
+	await(t, b.calls, "call to the other endpoint").reply(200)
 }
 
-// Wrong calls get a reason, and callers that are silent or stop midway keep nobody out.
+// Invalid calls are answered with a reason, and connections that send nothing or an incomplete call do not
+// block others.
 func TestOperatorBadCalls(t *testing.T) {
 	p, e := newTestPlatform(t), newTestEndpoint(t)
 	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
@@ -126,48 +127,49 @@
 	io.WriteString(conn, "disable-server s-0")
 	conn.(*net.TCPConn).CloseWrite()
 	if b, _ := io.ReadAll(conn); !strings.HasPrefix(string(b), "fail ") {
-		t.Errorf("half a call: got %q", b)
+		t.Errorf("incomplete call: got %q", b)
 	}
 	dialClient(t, n.addr).put("a", "safe", "+OK")
-	await(t, e.calls, "call: nothing was taken out").reply(200)
+	await(t, e.calls, "call: no endpoint was disabled").reply(200)
 }
 
-// An operator whose call was read in the moment in which it made room for another had no answer.
+// Guards against a close without an answer: a connection of the admin server is evicted when its call has been
+// read and its handler has not recorded that yet.
 func TestOperatorCallReadDuringEvictionIsAnswered(t *testing.T) {
-	d, side := newAdminServer(slog.New(slog.DiscardHandler), 64, nil), newConnPair(t)
-	if !d.addConn(side.served) {
-		t.Fatal("not let in")
-	}
-	d.mu.Lock()
-	d.wg.Go(func() {
-		d.handle(t.Context(), side.served)
-		d.closeConn(side.served)
+	s, caller := newAdminServer(slog.New(slog.DiscardHandler), 64, nil), newConnPair(t)
+	if !s.addConn(caller.served) {
+		t.Fatal("connection was rejected")
+	}
+	s.mu.Lock()
+	s.wg.Go(func() {
+		s.handle(t.Context(), caller.served)
+		s.closeConn(caller.served)
 	})
-	io.WriteString(side.conn, "ready\n")
-	time.Sleep(50 * time.Millisecond) // its handler has the line, and has not said so
-	evicted := d.evictSilent()
-	d.mu.Unlock()
-	if got := side.readLine(); !evicted || !strings.HasPrefix(got, "fail ") {
+	io.WriteString(caller.conn, "ready\n")
+	time.Sleep(50 * time.Millisecond) // the handler has read the line and waits for the lock
+	evicted := s.evictSilent()
+	s.mu.Unlock()
+	if got := caller.readLine(); !evicted || !strings.HasPrefix(got, "fail ") {
 		t.Errorf("evicted %v, answered %q", evicted, got)
 	}
-	d.wg.Wait()
+	s.wg.Wait()
 }
 
-// A call that still connects when its endpoint is taken out is not written.
+// A call that is still connecting when its endpoint is disabled is not written.
 func TestDisablingEndpointWithholdsConnectingCalls(t *testing.T) {
 	n, _, _, _ := startNodeWithEndpoints(t, 1)
 	n.stop()
 	if err := await(t, n.done, "end"); err != nil {
 		t.Fatal(err)
 	}
-	in := &call{endpoint: 1, state: new(atomic.Int32)}
-	stopped := false
-	n.held["x"] = &heldMessage{message: &Message{}, call: in, cancelCall: func(error) { stopped = true }}
+	connecting := &call{endpoint: 1, state: new(atomic.Int32)}
+	cancelled := false
+	n.held["x"] = &heldMessage{message: &Message{}, call: connecting, cancelCall: func(error) { cancelled = true }}
 	answer := make(chan error, 1)
 	j := openJournal(t, t.TempDir(), 3e6)
 	n.journal = j
 	n.applyCommand(operatorCommand{endpoint: "s-0", answer: answer})
-	if err := <-answer; err != nil || in.state.Load() != callWithheld || !stopped {
-		t.Errorf("answer %v, state %d, stopped %v", err, in.state.Load(), stopped)
+	if err := <-answer; err != nil || connecting.state.Load() != callWithheld || !cancelled {
+		t.Errorf("answer %v, state %d, cancelled %v", err, connecting.state.Load(), cancelled)
 	}
 }
--- a/internal/node/client_close.go
+++ b/internal/node/client_close.go
@@ -1,6 +1,6 @@
 package node
 
-// How a client's connection ends.
+// The close of client connections: its reasons, and the answers to requests that have arrived by then.
 
 import (
 	"bufio"
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// refuseTimeout is for requests that have come when a connection is about to be closed.
+// refuseTimeout is for reading and refusing the requests that have arrived when a connection is about to be closed.
 const refuseTimeout = 100 * time.Millisecond
 
-// closeReason says why a connection of a client is closed.
+// closeReason is why a client connection is closed.
 type closeReason string
 
 const (
-	closedByPeer      closeReason = "by_peer"      // its client ended or reset it
-	closedIdle        closeReason = "idle"         // no request for a long time
-	closedNoRequest   closeReason = "no_request"   // no first request in time
-	closedHalfRequest closeReason = "half_request" // a request did not come whole in time
-	closedMalformed   closeReason = "malformed"    // what came is no request
+	closedByPeer      closeReason = "by_peer"      // the client closed or reset it
+	closedIdle        closeReason = "idle"         // no further request within clientIdleTimeout
+	closedNoRequest   closeReason = "no_request"   // no first request within requestReadTimeout
+	closedHalfRequest closeReason = "half_request" // a request was not complete in time
+	closedMalformed   closeReason = "malformed"    // the bytes received are not a request
 	closedUnwritten   closeReason = "unwritten"    // an answer could not be written
-	closedEvicted     closeReason = "evicted"      // it made room for another
-	closedStopping    closeReason = "stopping"     // the process ends
+	closedEvicted     closeReason = "evicted"      // it was evicted for another connection
+	closedStopping    closeReason = "stopping"     // the process shuts down, or has handed over
 )
 
-// readsRemaining says whether requests may stand on the connection that can still be read.
+// readsRemaining reports whether requests may have arrived that can still be read before the close.
 func (r closeReason) readsRemaining() bool {
 	switch r {
 	case closedIdle, closedNoRequest, closedEvicted, closedStopping:
@@ -35,69 +35,72 @@
 	return false
 }
 
-// finish closes the connection. All connections that were served end here, by one rule: what has been read is answered, and
-// what is not read is left unread. A client whose request is left unread, or comes later, sees a reset, and knows that it
-// was not carried out; one whose request is read and dropped does not.
-func (x *clientConn) finish(reason closeReason) {
-	x.table.mu.Lock()
-	x.setState(connClosing)
-	x.table.mu.Unlock()
-	if reason.readsRemaining() && !x.refusePending() {
+// finish closes the connection. All connections with a reader are closed here, by one rule: each request that
+// was read is answered, and later ones are left unread in the socket. The client of an unread request, or
+// of one that arrives later, sees a reset and so knows that the request was not carried out. If a request were
+// read and dropped, its client could not tell.
+func (cc *clientConn) finish(reason closeReason) {
+	cc.table.mu.Lock()
+	cc.setState(connClosing)
+	cc.table.mu.Unlock()
+	if reason.readsRemaining() && !cc.refusePending() {
 		reason = closedUnwritten
 	}
-	x.markDrained(reason)
+	cc.markDrained(reason)
 	if reason != closedByPeer && reason != closedUnwritten {
-		awaitAck(x.Conn)
+		awaitAck(cc.Conn)
 	}
-	unread := hasData(x.Conn)
-	x.Conn.Close()
-	x.table.countClose(x, reason, unread)
+	unread := hasData(cc.Conn)
+	cc.Conn.Close()
+	cc.table.countClose(cc, reason, unread)
 }
 
-// markDrained notes that all that was read has its answer, and checks that it is so, each request, unless the client has gone or
-// does not take answers.
-func (x *clientConn) markDrained(reason closeReason) {
-	c := x.table
+// markDrained sets connDrained and records a violation for each request that was read and not answered, unless
+// the client is gone or does not take answers.
+func (cc *clientConn) markDrained(reason closeReason) {
+	c := cc.table
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	x.setState(connDrained)
+	cc.setState(connDrained)
 	switch reason {
 	case closedByPeer, closedUnwritten:
 		return
-	case closedMalformed, closedHalfRequest: // what follows is no request
+	case closedMalformed, closedHalfRequest: // the buffered bytes are not complete requests
 	default:
-		buffered, _ := x.reader.Peek(x.reader.Buffered())
-		x.unansweredRequests += countCompleteRequests(buffered)
+		buffered, _ := cc.reader.Peek(cc.reader.Buffered())
+		cc.unansweredRequests += countCompleteRequests(buffered)
 	}
-	for range x.unansweredRequests {
-		c.guard.recordViolation(ruleAnswer, "peer", x.RemoteAddr(), "why", string(reason))
+	for range cc.unansweredRequests {
+		c.guard.recordViolation(ruleAnswer, "peer", cc.RemoteAddr(), "why", string(reason))
 	}
 }
 
-// refusePending turns away requests that had come when it was called: handing them in again is harmless. It takes a moment at
-// most, and answers all that it has read. It returns false if an answer could not be sent.
-func (x *clientConn) refusePending() bool {
-	by := time.Now().Add(refuseTimeout)
-	x.readLimit = availableBytes(x.Conn)
-	for x.reader.Buffered() > 0 || x.readLimit != 0 && hasData(x.Conn) {
-		if !time.Now().Before(by) {
-			x.readLimit = 0
+// refusePending refuses the requests that have arrived when it is called, with -BUSY for a MSG.PUT: its client
+// can safely send it again. After refuseTimeout it reads nothing more from the socket, but it answers all
+// requests that it has read. It returns false if an answer could not be written.
+func (cc *clientConn) refusePending() bool {
+	deadline := time.Now().Add(refuseTimeout)
+	cc.readLimit = availableBytes(cc.Conn)
+	for cc.reader.Buffered() > 0 || cc.readLimit != 0 && hasData(cc.Conn) {
+		if !time.Now().Before(deadline) {
+			cc.readLimit = 0
 		}
-		x.SetReadDeadline(by)
-		args, err := readCommand(x.reader)
+		cc.SetReadDeadline(deadline)
+		args, err := readCommand(cc.reader)
 		if err != nil {
-			x.unreadableReason(err)
+			cc.unreadableReason(err)
 			break
 		}
-		x.completeRequest()
-		if !x.answerRequest(x.table.rejectRequest(args)) {
+		cc.completeRequest()
+		if !cc.answerRequest(cc.table.rejectRequest(args)) {
 			return false
 		}
 	}
 	return true
 }
 
-// rejectRequest is the answer to a request that came too late to be carried out.
+// rejectRequest returns the answer to a request that arrived too late to be carried out: -BUSY for a MSG.PUT. Other
+// requests have no effect and get their usual answer.
 func (c *clients) rejectRequest(args [][]byte) string {
 	if strings.EqualFold(string(args[0]), "MSG.PUT") {
 		return busyAnswer(0)
@@ -105,18 +108,19 @@
 	return c.handleRequest(args)
 }
 
-// countClose counts why a connection was closed.
-func (c *clients) countClose(x *clientConn, reason closeReason, unread bool) {
+// countClose counts and logs why a connection was closed.
+func (c *clients) countClose(cc *clientConn, reason closeReason, unread bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closeCounts[reason]++
 	if unread {
 		c.closedOverUnread++
 	}
-	c.log.Debug("client closed", "peer", x.RemoteAddr(), "why", string(reason), "owed", x.unansweredRequests, "unread", unread)
+	c.log.Debug("client connection closed", "peer", cc.RemoteAddr(), "why", string(reason),
+		"owed", cc.unansweredRequests, "unread", unread)
 }
 
-// countCompleteRequests is how many requests stand whole at the begin of some bytes.
+// countCompleteRequests returns how many complete requests b begins with.
 func countCompleteRequests(b []byte) (count int) {
 	r := bufio.NewReader(bytes.NewReader(b))
 	for {
@@ -127,40 +131,44 @@
 	}
 }
 
-// reportUnanswered notes connections that the process ends with before all that was read on them has its answer. An answer
-// that is being written waits for its client.
+// reportUnanswered records a violation for each connection that is still open when the process ends, since a
+// request that was read on it may have no answer. A connection on which an answer is being written is left out:
+// it waits for its client.
 func (c *clients) reportUnanswered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, x := range c.conns {
-		if x.state != connDrained && !x.writingAnswer {
-			c.guard.recordViolation(ruleAnswer, "peer", x.RemoteAddr(), "why", "process ends", "state", x.state, "owed", x.unansweredRequests)
+	for _, cc := range c.conns {
+		if cc.state != connDrained && !cc.writingAnswer {
+			c.guard.recordViolation(ruleAnswer, "peer", cc.RemoteAddr(), "why", "process ends", "state", cc.state,
+				"owed", cc.unansweredRequests)
 		}
 	}
 }
 
-// drainClients answers, once the loop has ended, the requests that came too late for it, until the last connection has
-// ended or a time is over: what was read must not end with the process.
-func (n *Node) drainClients(by time.Time) {
-	over := time.NewTimer(time.Until(by))
-	defer over.Stop()
-	ended := n.clients.allEnded()
+// drainClients answers the messages that reach the loop's event channel after the loop has ended, until the
+// last connection is closed or the deadline is over: a request that was read must be answered before the
+// process ends.
+func (n *Node) drainClients(deadline time.Time) {
+	timer := time.NewTimer(time.Until(deadline))
+	defer timer.Stop()
+	allEnded := n.clients.allEnded()
 	for {
 		select {
 		case ev := <-n.events:
 			if put, ok := ev.(putEvent); ok {
 				put.answer <- n.lateAnswer(put.message.ID)
 			}
-		case <-ended:
+		case <-allEnded:
 			return
-		case <-over.C:
+		case <-timer.C:
 			n.clients.reportUnanswered()
 			return
 		}
 	}
 }
 
-// lateAnswer refuses a message that comes after the loop's end, unless it was accepted before under the same id.
+// lateAnswer returns the answer to a message that arrives after the loop has ended: -BUSY, unless a message
+// with this id was accepted before.
 func (n *Node) lateAnswer(id string) string {
 	if n.held[id] != nil || n.journal.Entry(id) != nil {
 		return answerOK
--- a/internal/node/client_close_process_test.go
+++ b/internal/node/client_close_process_test.go
@@ -17,41 +17,42 @@
 	"crossdeal/internal/scale/standin"
 )
 
-// resetArrivalTime is how long a reset may take to arrive behind the end of a stream.
+// resetArrivalTime is how long a reset may take to arrive after the end of the stream.
 const resetArrivalTime = 150 * time.Millisecond
 
-// closeOutcomes counts how requests ended that were written to connections which a sender closes.
+// closeOutcomes counts the outcomes of requests on connections that the sender closes.
 type closeOutcomes struct {
 	answered atomic.Int64
-	reset    atomic.Int64 // the connection was reset
-	lost     atomic.Int64 // read, and the connection ended with no answer
+	reset    atomic.Int64 // the connection was reset, or ended with the request unread
+	lost     atomic.Int64 // read by the sender, and the connection ended without an answer
 }
 
-// check fails the test if requests were lost, or fewer than some were answered at all.
-func (x *closeOutcomes) check(t *testing.T, least int64) {
+// check fails the test if requests were lost, or fewer than minAnswered were answered.
+func (o *closeOutcomes) check(t *testing.T, minAnswered int64) {
 	t.Helper()
-	if n := x.lost.Load(); n > 0 {
-		t.Errorf("%d requests were read and have no answer (%d answered, %d crossed the close)", n, x.answered.Load(), x.reset.Load())
+	if n := o.lost.Load(); n > 0 {
+		t.Errorf("%d requests were read and not answered (%d answered, %d reset)", n, o.answered.Load(), o.reset.Load())
 	}
-	if n := x.answered.Load(); n < least {
-		t.Errorf("%d requests were answered", n)
+	if n := o.answered.Load(); n < minAnswered {
+		t.Errorf("%d requests were answered, too few", n)
 	}
 }
 
-// countUnanswered counts requests on a connection that ended with err before their answers, once the sender's process has ended.
-func (x *closeOutcomes) countUnanswered(conn net.Conn, err error, count int64, processEnded <-chan struct{}) {
+// countUnanswered counts the requests that had no answer when the connection ended with err. Whether the sender
+// read them is known only after its process has ended.
+func (o *closeOutcomes) countUnanswered(conn net.Conn, err error, count int64, processEnded <-chan struct{}) {
 	if errors.Is(err, io.EOF) {
 		<-processEnded
 		time.Sleep(resetArrivalTime)
 		if standin.PeerReadAll(conn) {
-			x.lost.Add(count)
+			o.lost.Add(count)
 			return
 		}
 	}
-	x.reset.Add(count)
+	o.reset.Add(count)
 }
 
-// startProcessWithEndpoint starts a process that knows one endpoint.
+// startProcessWithEndpoint starts a sender process whose list has one endpoint.
 func startProcessWithEndpoint(t *testing.T) *process {
 	t.Helper()
 	p := newTestPlatform(t)
@@ -60,115 +61,121 @@
 	return startProcess(t, p, t.TempDir(), known)
 }
 
-// sendUntilClosed sends one request after the other on a connection until the sender ends it. What was read it judges
-// once the sender's process has ended.
-func (x *closeOutcomes) sendUntilClosed(conn net.Conn, requests []string, rng *rand.Rand, processEnded <-chan struct{}) {
+// sendUntilClosed sends requests one after the other, each after the answer to the last, until the sender closes the
+// connection.
+func (o *closeOutcomes) sendUntilClosed(conn net.Conn, requests []string, rng *rand.Rand,
+	processEnded <-chan struct{}) {
 	r := bufio.NewReader(conn)
 	for i := 0; ; i++ {
 		time.Sleep(time.Duration(rng.Int64N(int64(4 * time.Millisecond))))
 		if _, err := io.WriteString(conn, requests[i%len(requests)]); err != nil {
-			x.reset.Add(1)
+			o.reset.Add(1)
 			return
 		}
 		if _, err := r.ReadString('\n'); err != nil {
-			x.countUnanswered(conn, err, 1, processEnded)
+			o.countUnanswered(conn, err, 1, processEnded)
 			return
 		}
-		x.answered.Add(1)
+		o.answered.Add(1)
 	}
 }
 
-// suspendRepeatedly stops a process again and again for a few milliseconds, until a time is over.
-func suspendRepeatedly(x *process, rng *rand.Rand, until time.Time) {
+// suspendRepeatedly suspends a process for 1 to 9 ms at a time, with short pauses, until the given time.
+func suspendRepeatedly(proc *process, rng *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
-		x.cmd.Process.Signal(syscall.SIGSTOP)
+		proc.cmd.Process.Signal(syscall.SIGSTOP)
 		time.Sleep(time.Millisecond + time.Duration(rng.Int64N(int64(8*time.Millisecond))))
-		x.cmd.Process.Signal(syscall.SIGCONT)
+		proc.cmd.Process.Signal(syscall.SIGCONT)
 		time.Sleep(100*time.Microsecond + time.Duration(rng.Int64N(int64(400*time.Microsecond))))
 	}
 }
 
-// A request that comes while its connection is being closed was read and dropped: its client had neither an answer nor a reset.
+// Guards against reading and dropping a request that arrives while its connection is being closed: its client
+// would get neither an answer nor a reset. Suspending the process widens the time window in which that can
+// happen.
 func TestRequestReadDuringCloseIsAnswered(t *testing.T) {
 	const clients, runs = 100, 3
 	rng := rand.New(rand.NewPCG(1, 1))
 	requests := []string{encodeRequest("PING"), encodeRequest("MSG.PUT", "0", "a", "c=safe,t=acme,d=9000,dest=1", "x")}
-	var tally closeOutcomes
+	var outcomes closeOutcomes
 	for range runs {
-		x := startProcessWithEndpoint(t)
-		var all sync.WaitGroup
-		ended := make(chan struct{})
+		proc := startProcessWithEndpoint(t)
+		var wg sync.WaitGroup
+		processEnded := make(chan struct{})
 		for i := range clients {
-			conn := dialClient(t, x.addr).conn
+			conn := dialClient(t, proc.addr).conn
 			seed := rng.Uint64()
-			all.Go(func() { tally.sendUntilClosed(conn, requests, rand.New(rand.NewPCG(seed, uint64(i))), ended) })
+			wg.Go(func() {
+				outcomes.sendUntilClosed(conn, requests, rand.New(rand.NewPCG(seed, uint64(i))), processEnded)
+			})
 		}
 		time.Sleep(50 * time.Millisecond)
-		x.terminate()
+		proc.terminate()
 		time.Sleep(shutdownAcceptTime - 20*time.Millisecond)
-		suspendRepeatedly(x, rng, time.Now().Add(700*time.Millisecond))
-		x.awaitExit()
-		close(ended)
-		all.Wait()
-		for _, line := range x.violationLines() {
+		suspendRepeatedly(proc, rng, time.Now().Add(700*time.Millisecond))
+		proc.awaitExit()
+		close(processEnded)
+		wg.Wait()
+		for _, line := range proc.violationLines() {
 			t.Error(line)
 		}
 	}
-	tally.check(t, clients*runs)
+	outcomes.check(t, clients*runs)
 }
 
-// pipelineUntilClosed keeps requests outstanding on a connection, some in each write, until the sender ends it. What
-// was read it judges once the sender's process has ended.
-func (x *closeOutcomes) pipelineUntilClosed(conn net.Conn, request string, processEnded <-chan struct{}) {
-	const each, ahead = 20, 60
+// pipelineUntilClosed keeps up to maxOutstanding requests outstanding, batchSize in each write, until the
+// sender closes the connection.
+func (o *closeOutcomes) pipelineUntilClosed(conn net.Conn, request string, processEnded <-chan struct{}) {
+	const batchSize, maxOutstanding = 20, 60
 	r := bufio.NewReader(conn)
-	text := strings.Repeat(request, each)
+	batch := strings.Repeat(request, batchSize)
 	for outstanding := 0; ; outstanding-- {
-		for ; outstanding <= ahead-each; outstanding += each {
-			if _, err := io.WriteString(conn, text); err != nil {
-				x.reset.Add(int64(outstanding))
+		for ; outstanding <= maxOutstanding-batchSize; outstanding += batchSize {
+			if _, err := io.WriteString(conn, batch); err != nil {
+				o.reset.Add(int64(outstanding))
 				return
 			}
 		}
 		if _, err := r.ReadString('\n'); err != nil {
-			x.countUnanswered(conn, err, int64(outstanding), processEnded)
+			o.countUnanswered(conn, err, int64(outstanding), processEnded)
 			return
 		}
-		x.answered.Add(1)
+		o.answered.Add(1)
 	}
 }
 
-// A process that is held up in its last moments ended with requests that it had read and not answered.
+// Guards against a process that ends with requests that it has read and not answered. Suspending the process shortly
+// before its end provokes that.
 func TestProcessAnswersReadRequestsBeforeExit(t *testing.T) {
 	const clients, runs = 40, 2
 	rng := rand.New(rand.NewPCG(2, 2))
-	var tally closeOutcomes
+	var outcomes closeOutcomes
 	for range runs {
-		x := startProcessWithEndpoint(t)
-		var all sync.WaitGroup
-		ended := make(chan struct{})
+		proc := startProcessWithEndpoint(t)
+		var wg sync.WaitGroup
+		processEnded := make(chan struct{})
 		for i := range clients {
-			conn, request := dialClient(t, x.addr).conn, encodeRequest("PING")
+			conn, request := dialClient(t, proc.addr).conn, encodeRequest("PING")
 			if i%2 == 0 {
 				request = encodeRequest(putArgs("a")...)
 			}
-			all.Go(func() { tally.pipelineUntilClosed(conn, request, ended) })
+			wg.Go(func() { outcomes.pipelineUntilClosed(conn, request, processEnded) })
 		}
 		time.Sleep(50 * time.Millisecond)
-		x.terminate()
+		proc.terminate()
 		time.Sleep(shutdownLoopTimeout - 3*lastRequestTimeout)
 		for range 4 {
-			x.cmd.Process.Signal(syscall.SIGSTOP)
+			proc.cmd.Process.Signal(syscall.SIGSTOP)
 			time.Sleep(time.Duration(rng.Int64N(int64(150 * time.Millisecond))))
-			x.cmd.Process.Signal(syscall.SIGCONT)
+			proc.cmd.Process.Signal(syscall.SIGCONT)
 			time.Sleep(time.Duration(rng.Int64N(int64(20 * time.Millisecond))))
 		}
-		x.awaitExit()
-		close(ended)
-		all.Wait()
-		for _, line := range x.violationLines() {
+		proc.awaitExit()
+		close(processEnded)
+		wg.Wait()
+		for _, line := range proc.violationLines() {
 			t.Error(line)
 		}
 	}
-	tally.check(t, clients*runs)
+	outcomes.check(t, clients*runs)
 }
--- a/internal/node/client_close_test.go
+++ b/internal/node/client_close_test.go
@@ -11,13 +11,13 @@
 	"crossdeal/internal/scale/standin"
 )
 
-// connPair is a connection whose other end is a sender's client table.
+// connPair is a client and the sender's end of its connection.
 type connPair struct {
 	*testClient
-	served net.Conn // the table's end
+	served net.Conn // the sender's end
 }
 
-// newConnPair makes a connection to a table without its listener, so that a test decides when it is served.
+// newConnPair opens a connection without the listener of a client table, so that the test decides when it is served.
 func newConnPair(t *testing.T) connPair {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,15 +25,15 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	c := dialClient(t, ln.Addr().String())
+	client := dialClient(t, ln.Addr().String())
 	served, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return connPair{c, served}
+	return connPair{client, served}
 }
 
-// newAcceptingClients is a table whose messages are all accepted.
+// newAcceptingClients returns a client table with a stand-in for the loop that accepts each message.
 func newAcceptingClients(t *testing.T) *clients {
 	t.Helper()
 	events := make(chan any, 8)
@@ -53,79 +53,82 @@
 
 const settingsOnlyConfig = `{"name":"n","settings":` + testSettings + `}`
 
-// putArgs is a whole request with an id.
+// putArgs returns the arguments of a complete request for a message with this id.
 func putArgs(id string) []string { return []string{"MSG.PUT", "0", id, "c=safe,d=5000,dest=1", "x"} }
 
-// serveConn begins to serve a connection as the listener does.
-func serveConn(c *clients, conn net.Conn, first time.Time) {
+// serveConn adds a connection to the table and starts its reader, as clients.serve does.
+func serveConn(c *clients, conn net.Conn, firstRequestBy time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	x := newClientConn(c, conn, time.Now())
-	c.conns[conn] = x
-	c.startConn(x, first)
+	cc := newClientConn(c, conn, time.Now())
+	c.conns[conn] = cc
+	c.startConn(cc, firstRequestBy)
 }
 
-// A client makes room in the moment in which the last byte of its first request has come: the request has been read, so
-// it is refused before the connection is closed.
+// Guards against a close without an answer: a connection is evicted when the last byte of its first request has
+// arrived and its reader has not recorded that yet. The request must be answered with -BUSY before the close.
 func TestEvictedClientGetsAnswerToReceivedRequest(t *testing.T) {
-	c, x := newAcceptingClients(t), newConnPair(t)
-	serveConn(c, x.served, time.Now().Add(requestReadTimeout))
-	whole := encodeRequest(putArgs("a")...)
-	x.conn.Write([]byte(whole[:len(whole)-3]))
-	time.Sleep(stallTimeout + 100*time.Millisecond) // it stands still with its first request
+	c, client := newAcceptingClients(t), newConnPair(t)
+	serveConn(c, client.served, time.Now().Add(requestReadTimeout))
+	request := encodeRequest(putArgs("a")...)
+	client.conn.Write([]byte(request[:len(request)-3]))
+	time.Sleep(stallTimeout + 100*time.Millisecond) // its first request is stalled
 	c.mu.Lock()
-	x.conn.Write([]byte(whole[len(whole)-3:]))
-	time.Sleep(50 * time.Millisecond) // its reader has the rest, and has not said so
+	client.conn.Write([]byte(request[len(request)-3:]))
+	time.Sleep(50 * time.Millisecond) // the reader has read the rest and waits for the lock
 	evicted := c.evict(evictionRankNew)
 	c.mu.Unlock()
-	if got := x.readLine(); !evicted || !strings.HasPrefix(got, "-BUSY") {
-		t.Errorf("evicted %v, answered %q, want a refusal", evicted, got)
+	if got := client.readLine(); !evicted || !strings.HasPrefix(got, "-BUSY") {
+		t.Errorf("evicted %v, answered %q, want -BUSY", evicted, got)
 	}
-	if got := x.readLine(); got != "" {
-		t.Errorf("then %q, want the end", got)
+	if got := client.readLine(); got != "" {
+		t.Errorf("second answer %q, want a closed connection", got)
 	}
 }
 
-// A shutdown is so far on that nothing is read any more: requests that have come along with the last one are refused.
+// Guards against unanswered requests at the end of a shutdown: readUntil is over when the connection's reader
+// starts, and two requests have arrived. Both must be answered.
 func TestRequestsReceivedAtShutdownEndAreAnswered(t *testing.T) {
 	for _, before := range []time.Duration{time.Second, lastRequestTimeout / 2} {
-		c, x := newAcceptingClients(t), newConnPair(t)
-		x.send(putArgs("a")...)
-		x.send(putArgs("b")...)
+		c, client := newAcceptingClients(t), newConnPair(t)
+		client.send(putArgs("a")...)
+		client.send(putArgs("b")...)
 		c.closing, c.readUntil = true, time.Now().Add(-before)
-		serveConn(c, x.served, time.Now().Add(requestReadTimeout))
+		serveConn(c, client.served, time.Now().Add(requestReadTimeout))
 		for range 2 {
-			if got := x.readLine(); got == "" {
-				t.Errorf("%v past the last reading: a request that had come has no answer", before)
+			if got := client.readLine(); got == "" {
+				t.Errorf("%v after the end of reading: a request that had arrived has no answer", before)
 			}
 		}
 	}
 }
 
-// The time for a request is over in the moment in which it comes: a whole one has its answer.
+// Guards against dropping a request that is complete when its deadline ends: it must be answered.
 func TestCompleteRequestAtItsDeadlineIsAnswered(t *testing.T) {
-	c, x := newAcceptingClients(t), newConnPair(t)
-	x.send(putArgs("a")...)
+	c, client := newAcceptingClients(t), newConnPair(t)
+	client.send(putArgs("a")...)
 	time.Sleep(20 * time.Millisecond)
-	serveConn(c, x.served, time.Now().Add(-time.Second))
-	if got := x.readLine(); got != "+OK" && !strings.HasPrefix(got, "-BUSY") {
+	serveConn(c, client.served, time.Now().Add(-time.Second))
+	if got := client.readLine(); got != "+OK" && !strings.HasPrefix(got, "-BUSY") {
 		t.Errorf("answered %q", got)
 	}
 }
 
-// A close over bytes that nobody reads resets the connection, and an answer that is still on its way would go with it.
+// Guards against the loss of an error line: a close with unread bytes resets the connection, which discards an
+// answer that has not arrived yet.
 func TestErrorLineArrivesDespiteUnreadBytes(t *testing.T) {
 	for range 20 {
-		c, x := newAcceptingClients(t), newConnPair(t)
-		x.conn.Write([]byte("nonsense\r\n" + strings.Repeat("more of it ", 2000)))
-		serveConn(c, x.served, time.Now().Add(requestReadTimeout))
-		if got := x.readLine(); !strings.HasPrefix(got, "-ERR") {
+		c, client := newAcceptingClients(t), newConnPair(t)
+		client.conn.Write([]byte("nonsense\r\n" + strings.Repeat("more of it ", 2000)))
+		serveConn(c, client.served, time.Now().Add(requestReadTimeout))
+		if got := client.readLine(); !strings.HasPrefix(got, "-ERR") {
 			t.Fatalf("answered %q, want an error line", got)
 		}
 	}
 }
 
-// closeHookConn is the sender's end of a connection on which a request comes while it is closed.
+// closeHookConn is the sender's end of a connection. It calls beforeCloseWrite during the close, before the sending
+// direction is closed.
 type closeHookConn struct {
 	*net.TCPConn
 	beforeCloseWrite func()
@@ -136,67 +139,69 @@
 	return c.TCPConn.CloseWrite()
 }
 
-// closePaths are ways in which a connection is closed on which some bytes have come. Each begins to serve it.
-var closePaths = map[string]func(c *clients, x *clientConn){
-	"no first request in time": func(c *clients, x *clientConn) { c.startConn(x, time.Now().Add(-time.Second)) },
-	"a request not in time":    func(c *clients, x *clientConn) { c.startConn(x, time.Now().Add(100*time.Millisecond)) },
-	"made room": func(c *clients, x *clientConn) {
-		x.setState(connClosing)
-		c.startConn(x, time.Time{})
+// closePaths holds, by name, the ways in which a connection is closed on which bytes have arrived. Each
+// function starts the reader in such a state.
+var closePaths = map[string]func(c *clients, cc *clientConn){
+	"no first request in time": func(c *clients, cc *clientConn) { c.startConn(cc, time.Now().Add(-time.Second)) },
+	"request not in time":      func(c *clients, cc *clientConn) { c.startConn(cc, time.Now().Add(100*time.Millisecond)) },
+	"evicted for another": func(c *clients, cc *clientConn) {
+		cc.setState(connClosing)
+		c.startConn(cc, time.Time{})
 	},
-	"shutdown": func(c *clients, x *clientConn) {
+	"shutdown": func(c *clients, cc *clientConn) {
 		c.closing = true
-		c.startConn(x, time.Time{})
+		c.startConn(cc, time.Time{})
 	},
-	"end of a shutdown": func(c *clients, x *clientConn) {
+	"end of a shutdown": func(c *clients, cc *clientConn) {
 		c.closing, c.readUntil = true, time.Now().Add(-time.Second)
-		c.startConn(x, time.Time{})
+		c.startConn(cc, time.Time{})
 	},
 }
 
-// A connection that was closed under requests that had been read left some of them without an answer.
+// Guards against a close that drops requests which have been read: on each way to a close, all requests that
+// have arrived must be answered.
 func TestEveryCloseAnswersRequestsRead(t *testing.T) {
-	whole := func(ids ...string) (text string) {
+	requests := func(ids ...string) (text string) {
 		for _, id := range ids {
 			text += encodeRequest(putArgs(id)...)
 		}
 		return text
 	}
-	half := whole("h")[:20]
-	for path, begin := range closePaths {
-		for form, x := range map[string]struct {
-			text string
-			want int
-			shut bool // the client ends its sending
+	halfRequest := requests("h")[:20]
+	for path, start := range closePaths {
+		for name, tc := range map[string]struct {
+			text       string
+			want       int
+			closeWrite bool // the client closes its sending direction
 		}{
-			"one":                      {whole("a"), 1, false},
-			"several":                  {whole("a", "b", "c"), 3, false},
-			"more than a buffer holds": {strings.Repeat(whole("a"), 200), 200, false},
-			"one and a half":           {whole("a") + half, 1, false},
-			"one and no request":       {whole("a") + "nonsense\r\n", 2, false},
-			"two, then no more":        {whole("a", "b"), 2, true},
-			"one and a half, no more":  {whole("a") + half, 1, true},
+			"one":                      {requests("a"), 1, false},
+			"several":                  {requests("a", "b", "c"), 3, false},
+			"more than a buffer holds": {strings.Repeat(requests("a"), 200), 200, false},
+			"one and a half":           {requests("a") + halfRequest, 1, false},
+			"one and malformed bytes":  {requests("a") + "nonsense\r\n", 2, false},
+			"two, end of stream":       {requests("a", "b"), 2, true},
+			"one and a half, the end":  {requests("a") + halfRequest, 1, true},
 		} {
-			t.Run(path+"/"+form, func(t *testing.T) {
-				c, side := newAcceptingClients(t), newConnPair(t)
-				io.WriteString(side.conn, x.text)
-				if x.shut {
-					side.conn.(*net.TCPConn).CloseWrite()
+			t.Run(path+"/"+name, func(t *testing.T) {
+				c, client := newAcceptingClients(t), newConnPair(t)
+				io.WriteString(client.conn, tc.text)
+				if tc.closeWrite {
+					client.conn.(*net.TCPConn).CloseWrite()
 				}
-				await(t, notifyAvailable(side.served, len(x.text)), "bytes of the client")
+				await(t, notifyAvailable(client.served, len(tc.text)), "bytes of the client")
 				c.mu.Lock()
-				conn := newClientConn(c, side.served, time.Now())
-				c.conns[side.served] = conn
-				begin(c, conn)
+				cc := newClientConn(c, client.served, time.Now())
+				c.conns[client.served] = cc
+				start(c, cc)
 				c.mu.Unlock()
 				got := 0
-				for side.readLine() != "" {
-					if got++; got == x.want { // where the connection goes on, its client ends it
-						side.conn.(*net.TCPConn).CloseWrite()
+				for client.readLine() != "" {
+					if got++; got == tc.want { // if the sender keeps the connection open, the client ends it
+						client.conn.(*net.TCPConn).CloseWrite()
 					}
 				}
-				if got != x.want {
-					t.Errorf("%d answers, want %d", got, x.want)
+				if got != tc.want {
+					t.Errorf("%d answers, want %d", got, tc.want)
 				}
 				c.wg.Wait()
 				if n := c.guard.violationTotal(); n != 0 {
@@ -207,17 +212,17 @@
 	}
 }
 
-// A connection whose close was under way was closed again to make room for another.
+// Guards against evicting a connection that is answering a request, is parked, or is already being closed.
 func TestClosingConnectionIsNotEvicted(t *testing.T) {
 	c := newAcceptingClients(t)
-	mine, theirs := net.Pipe()
-	defer theirs.Close()
-	x := newClientConn(c, mine, time.Now().Add(-time.Minute))
-	c.conns[mine] = x
+	served, client := net.Pipe()
+	defer client.Close()
+	cc := newClientConn(c, served, time.Now().Add(-time.Minute))
+	c.conns[served] = cc
 	for _, state := range []connState{connAnswering, connParked, connClosing, connDrained} {
-		x.state = state
+		cc.state = state
 		if c.evict(evictionRankNew) {
-			t.Errorf("%v: made room", state)
+			t.Errorf("%v: evicted", state)
 		}
 	}
 	if n := c.guard.violationTotal(); n != 0 {
@@ -225,7 +230,7 @@
 	}
 }
 
-// notifyAvailable tells once so many bytes wait to be read.
+// notifyAvailable returns a channel that receives once count bytes can be read.
 func notifyAvailable(conn net.Conn, count int) <-chan bool {
 	ch := make(chan bool, 1)
 	go func() {
@@ -237,53 +242,54 @@
 	return ch
 }
 
-// A request that came while its connection was closed was read and dropped, on each way to a close.
+// Guards against reading and dropping a request that arrives during the close, on each way to a close: it must
+// be left unread, so that its client sees a reset.
 func TestRequestSentDuringCloseIsReset(t *testing.T) {
-	for path, begin := range closePaths {
+	for path, start := range closePaths {
 		t.Run(path, func(t *testing.T) {
-			c, side := newAcceptingClients(t), newConnPair(t)
-			side.send(putArgs("a")...)
-			await(t, notifyAvailable(side.served, 1), "first request")
-			late := encodeRequest(putArgs("late")...)
-			served := &closeHookConn{side.served.(*net.TCPConn), func() {
-				io.WriteString(side.conn, late)
-				await(t, notifyAvailable(side.served, len(late)), "request that crosses")
+			c, client := newAcceptingClients(t), newConnPair(t)
+			client.send(putArgs("a")...)
+			await(t, notifyAvailable(client.served, 1), "first request")
+			lateRequest := encodeRequest(putArgs("late")...)
+			served := &closeHookConn{client.served.(*net.TCPConn), func() {
+				io.WriteString(client.conn, lateRequest)
+				await(t, notifyAvailable(client.served, len(lateRequest)), "request during the close")
 			}}
 			c.mu.Lock()
-			conn := newClientConn(c, served, time.Now())
-			c.conns[served] = conn
-			begin(c, conn)
+			cc := newClientConn(c, served, time.Now())
+			c.conns[served] = cc
+			start(c, cc)
 			c.mu.Unlock()
-			if got := side.readLine(); got != "+OK" && !strings.HasPrefix(got, "-BUSY") {
+			if got := client.readLine(); got != "+OK" && !strings.HasPrefix(got, "-BUSY") {
 				t.Errorf("first request: %q", got)
 			}
 			stop := expireReadDeadlines(served)
-			if got := side.readLine(); got != "" {
-				t.Errorf("then %q", got)
+			if got := client.readLine(); got != "" {
+				t.Errorf("second answer %q, want a closed connection", got)
 			}
 			c.wg.Wait()
 			stop()
 			time.Sleep(10 * time.Millisecond)
-			if standin.PeerReadAll(side.conn) {
-				t.Error("the request that crossed was read")
+			if standin.PeerReadAll(client.conn) {
+				t.Error("the request sent during the close was read")
 			}
 		})
 	}
 }
 
-// expireReadDeadlines ends the wait for a next request on a connection that goes on, again and again until it is stopped.
+// expireReadDeadlines repeatedly ends the wait for the next request on a connection, until stop is called.
 func expireReadDeadlines(conn net.Conn) (stop func()) {
-	tick, over := time.NewTicker(time.Millisecond), make(chan bool)
+	tick, done := time.NewTicker(time.Millisecond), make(chan bool)
 	go func() {
 		for {
 			select {
 			case <-tick.C:
 				conn.SetReadDeadline(time.Now())
-			case <-over:
+			case <-done:
 				tick.Stop()
 				return
 			}
 		}
 	}()
-	return func() { close(over) }
+	return func() { close(done) }
 }
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -1,6 +1,6 @@
 package node
 
-// A client's connection: its state, its reader and its requests, one after the other.
+// The connection of a client: its states, its reader, and the handling of its requests one after the other.
 
 import (
 	"bufio"
@@ -12,23 +12,39 @@
 	"time"
 )
 
-// connState is where a connection of a client stands.
+// connState is the state of a client connection.
+//
+// Only the reader of a connection closes it, in clientConn.finish. Others can make it do so: an eviction sets
+// connClosing and wakes the reader, and a shutdown wakes the reader of an idle connection. Each request that
+// was read completely gets its answer before the close, either its result or -BUSY, unless the client is gone
+// or does not take answers.
+//
+//   - connIdle: may be closed by its reader after a timeout, at a shutdown, or when the client closes it; may
+//     be evicted; may be parked for a handover.
+//   - connReading: the reader closes it if the request is malformed or not complete in time, or if the client
+//     closes it. It may be evicted only during its first request.
+//   - connAnswering: is neither evicted nor parked. The reader closes it only if the answer cannot be written.
+//   - connParked: has no reader, and is neither evicted nor closed while the handover lasts. Then the new
+//     process owns it, and this one closes its descriptor, or it becomes idle again.
+//   - connClosing: an evictor or the reader has decided on the close. No further MSG.PUT is carried out; the
+//     reader answers the requests that have arrived.
+//   - connDrained: each request that was read has its answer. Only the close is left.
 type connState int
 
 const (
-	connIdle      connState = iota // nothing of a request has come since the last answer
-	connReading                    // a request is coming
-	connAnswering                  // a whole request has come and is owed its answer
-	connParked                     // set aside for a handover: it has no reader
-	connClosing                    // about to be closed: no further request is carried out
-	connDrained                    // all that was read has its answer: only the close is left
+	connIdle      connState = iota // waits for a request; nothing of one has been seen since the last answer
+	connReading                    // reads a request
+	connAnswering                  // has read a complete request and must answer it
+	connParked                     // has no reader during a handover
+	connClosing                    // about to be closed
+	connDrained                    // all requests that were read are answered
 )
 
 func (s connState) String() string {
 	return [...]string{"idle", "reading", "answering", "parked", "closing", "drained"}[s]
 }
 
-// allowedTransitions lists the transitions that are allowed, besides staying in a state.
+// allowedTransitions lists the states that may follow each state. Setting the same state again is always allowed.
 var allowedTransitions = map[connState][]connState{
 	connIdle:      {connReading, connParked, connClosing},
 	connReading:   {connAnswering, connClosing},
@@ -37,251 +53,257 @@
 	connClosing:   {connDrained},
 }
 
-// clientConn is one connection of a client. Its reader owns it, but for what the table's lock guards.
+// clientConn is one client connection. Its reader owns it, except for the fields that the table's lock guards.
 type clientConn struct {
 	net.Conn
 	table     *clients
 	reader    *bufio.Reader
-	readLimit int // bytes that may still be read from the system; negative for any number
+	readLimit int // bytes that may still be read from the socket; negative for no limit
 
-	// What follows is guarded by the table's lock.
+	// The fields from here on are guarded by the table's lock.
 	state              connState
-	hasServedRequest   bool      // a whole request has come on it
-	idleSince          time.Time // of its start or its last answer
-	lastReadAt         time.Time // when the last byte came; zero if none has
-	readOverdueSince   time.Time // when bytes were first read past their deadline; zero if none were
-	unansweredRequests int       // requests read that have no answer yet
-	writingAnswer      bool      // an answer is being written: its client may take its time
+	hasServedRequest   bool      // at least one request has been read and answered
+	idleSince          time.Time // when the connection started or its last answer was written
+	lastReadAt         time.Time // when the last bytes were read; zero if none were
+	readOverdueSince   time.Time // when the reader first went on reading past its deadline; zero if it never did
+	unansweredRequests int       // complete requests read and not answered yet
+	writingAnswer      bool      // an answer is being written, which takes as long as the client takes to read it
 }
 
 func newClientConn(table *clients, conn net.Conn, since time.Time) *clientConn {
-	x := &clientConn{Conn: conn, table: table, idleSince: since, readLimit: -1}
-	x.reader = bufio.NewReader(x)
-	return x
+	cc := &clientConn{Conn: conn, table: table, idleSince: since, readLimit: -1}
+	cc.reader = bufio.NewReader(cc)
+	return cc
 }
 
-// Read reads what has come, also where the deadline is over: a request whose last byte is there is owed its answer.
-func (x *clientConn) Read(b []byte) (int, error) {
-	if x.readLimit == 0 {
+// Read reads what has arrived, for a short time even past the read deadline: a request whose last byte has
+// arrived must be answered. It reads readLimit bytes at most.
+func (cc *clientConn) Read(b []byte) (int, error) {
+	if cc.readLimit == 0 {
 		return 0, os.ErrDeadlineExceeded
 	}
-	if x.readLimit > 0 {
-		b = b[:min(len(b), x.readLimit)]
+	if cc.readLimit > 0 {
+		b = b[:min(len(b), cc.readLimit)]
 	}
-	n, err := x.Conn.Read(b)
-	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && x.mayReadPastDeadline() {
-		x.SetReadDeadline(time.Now().Add(shortRetryDelay))
-		n, err = x.Conn.Read(b)
+	n, err := cc.Conn.Read(b)
+	for n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && cc.mayReadPastDeadline() {
+		cc.SetReadDeadline(time.Now().Add(shortRetryDelay))
+		n, err = cc.Conn.Read(b)
 	}
 	if n > 0 {
-		x.noteRead(n)
+		cc.noteRead(n)
 	}
 	return n, err
 }
 
-func (x *clientConn) noteRead(n int) {
-	if x.readLimit > 0 {
-		x.readLimit -= n
+func (cc *clientConn) noteRead(n int) {
+	if cc.readLimit > 0 {
+		cc.readLimit -= n
 	}
-	x.table.mu.Lock()
-	defer x.table.mu.Unlock()
-	x.lastReadAt = time.Now()
+	cc.table.mu.Lock()
+	defer cc.table.mu.Unlock()
+	cc.lastReadAt = time.Now()
 }
 
-// mayReadPastDeadline says whether bytes have come that may be read past a deadline, for a moment in all. At a handover they are
-// left to whoever goes on.
-func (x *clientConn) mayReadPastDeadline() bool {
-	if !hasData(x.Conn) {
+// mayReadPastDeadline reports whether bytes have arrived that may be read although the read deadline is over.
+// It allows that for lastRequestTimeout from the first such read on, and not during a handover: the process
+// that owns the connection afterwards reads them.
+func (cc *clientConn) mayReadPastDeadline() bool {
+	if !hasData(cc.Conn) {
 		return false
 	}
-	x.table.mu.Lock()
-	defer x.table.mu.Unlock()
-	if x.readOverdueSince.IsZero() {
-		x.readOverdueSince = time.Now()
+	cc.table.mu.Lock()
+	defer cc.table.mu.Unlock()
+	if cc.readOverdueSince.IsZero() {
+		cc.readOverdueSince = time.Now()
 	}
-	return x.table.handover == nil && time.Since(x.readOverdueSince) < lastRequestTimeout
+	return cc.table.handover == nil && time.Since(cc.readOverdueSince) < lastRequestTimeout
 }
 
-// setState moves the connection to a state, false if it is being closed. The caller holds the table's lock.
-func (x *clientConn) setState(to connState) bool {
-	if x.state == connClosing && to < connClosing {
+// setState moves the connection to a state. It changes nothing and returns false if the connection is closing
+// and the new state does not belong to the close. The caller holds the table's lock.
+func (cc *clientConn) setState(to connState) bool {
+	if cc.state == connClosing && to < connClosing {
 		return false
 	}
-	if to != x.state && !slices.Contains(allowedTransitions[x.state], to) {
-		x.table.guard.recordViolation(ruleState, "peer", x.RemoteAddr(), "from", x.state, "to", to)
+	if to != cc.state && !slices.Contains(allowedTransitions[cc.state], to) {
+		cc.table.guard.recordViolation(ruleState, "peer", cc.RemoteAddr(), "from", cc.state, "to", to)
 	}
-	x.state = to
+	cc.state = to
 	return true
 }
 
-// beginWaiting waits for the next request from now on, until a time; false if the connection is being closed.
-func (x *clientConn) beginWaiting(until time.Time) bool {
-	c := x.table
+// beginWaiting makes the connection idle, with a time until which it waits for a request; false if it is closing.
+func (cc *clientConn) beginWaiting(until time.Time) bool {
+	c := cc.table
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !x.setState(connIdle) {
+	if !cc.setState(connIdle) {
 		return false
 	}
 	if c.closing || c.handover != nil {
-		until = c.wakeTime(x)
+		until = c.wakeTime(cc)
 	}
-	x.SetReadDeadline(until)
+	cc.SetReadDeadline(until)
 	return true
 }
 
-// beginRequest notes that a request has begun to come, which must be whole by a time; false if the connection is being closed.
-func (x *clientConn) beginRequest(by time.Time) bool {
-	x.table.mu.Lock()
-	defer x.table.mu.Unlock()
-	if !x.setState(connReading) {
+// beginRequest records that a request has begun to arrive and sets the deadline for reading all of it; false if the
+// connection is closing.
+func (cc *clientConn) beginRequest(deadline time.Time) bool {
+	cc.table.mu.Lock()
+	defer cc.table.mu.Unlock()
+	if !cc.setState(connReading) {
 		return false
 	}
-	x.SetReadDeadline(by)
+	cc.SetReadDeadline(deadline)
 	return true
 }
 
-// completeRequest notes that a request has been read whole, whose answer is owed; false if the connection is being closed.
-func (x *clientConn) completeRequest() bool {
-	x.table.mu.Lock()
-	defer x.table.mu.Unlock()
-	x.unansweredRequests++
-	x.table.requestsRead++
-	return x.setState(connAnswering)
+// completeRequest records that a complete request has been read, which must be answered; false if the connection is
+// closing.
+func (cc *clientConn) completeRequest() bool {
+	cc.table.mu.Lock()
+	defer cc.table.mu.Unlock()
+	cc.unansweredRequests++
+	cc.table.requestsRead++
+	return cc.setState(connAnswering)
 }
 
-// finishRequest notes that the request has its answer.
-func (x *clientConn) finishRequest() {
-	x.table.mu.Lock()
-	defer x.table.mu.Unlock()
-	x.idleSince, x.hasServedRequest = time.Now(), true
-	x.setState(connIdle)
+// finishRequest records that the request has been answered.
+func (cc *clientConn) finishRequest() {
+	cc.table.mu.Lock()
+	defer cc.table.mu.Unlock()
+	cc.idleSince, cc.hasServedRequest = time.Now(), true
+	cc.setState(connIdle)
 }
 
-// writeAnswer sends an answer, false if it could not be sent.
-func (x *clientConn) writeAnswer(answer string) bool {
-	x.setWriting(true)
-	x.SetWriteDeadline(time.Now().Add(answerTimeout))
-	_, err := io.WriteString(x.Conn, answer)
-	x.setWriting(false)
+// writeAnswer writes an answer; false if that failed.
+func (cc *clientConn) writeAnswer(answer string) bool {
+	cc.setWriting(true)
+	cc.SetWriteDeadline(time.Now().Add(answerTimeout))
+	_, err := io.WriteString(cc.Conn, answer)
+	cc.setWriting(false)
 	if err != nil {
-		x.table.log.Debug("answer not written", "peer", x.RemoteAddr(), "err", err)
+		cc.table.log.Debug("answer not written", "peer", cc.RemoteAddr(), "err", err)
 		return false
 	}
 	return true
 }
 
-func (x *clientConn) setWriting(on bool) {
-	x.table.mu.Lock()
-	defer x.table.mu.Unlock()
-	x.writingAnswer = on
+func (cc *clientConn) setWriting(on bool) {
+	cc.table.mu.Lock()
+	defer cc.table.mu.Unlock()
+	cc.writingAnswer = on
 }
 
-// answerRequest sends the answer to a request that was read, false if it could not be sent.
-func (x *clientConn) answerRequest(answer string) bool {
-	if !x.writeAnswer(answer) {
+// answerRequest writes the answer to a request and counts it; false if the answer could not be written.
+func (cc *clientConn) answerRequest(answer string) bool {
+	if !cc.writeAnswer(answer) {
 		return false
 	}
-	x.table.mu.Lock()
-	defer x.table.mu.Unlock()
-	x.unansweredRequests--
-	x.table.answersWritten++
+	cc.table.mu.Lock()
+	defer cc.table.mu.Unlock()
+	cc.unansweredRequests--
+	cc.table.answersWritten++
 	return true
 }
 
-// awaitRequest waits for the first byte of a request; an error ends the connection, or parks it.
-func (x *clientConn) awaitRequest() error {
-	_, err := x.reader.Peek(1)
-	if errors.Is(err, os.ErrDeadlineExceeded) && x.table.isClosing() {
-		// A request may have come just before: it is answered, for its client counts on that.
-		if !hasData(x.Conn) {
+// awaitRequest waits for the first byte of a request. After an error the connection is closed or parked.
+func (cc *clientConn) awaitRequest() error {
+	_, err := cc.reader.Peek(1)
+	if errors.Is(err, os.ErrDeadlineExceeded) && cc.table.isClosing() {
+		// A request may have arrived just before the deadline: it is answered, since its client expects that.
+		if !hasData(cc.Conn) {
 			return err
 		}
-		x.SetReadDeadline(time.Now().Add(lastRequestTimeout))
-		_, err = x.reader.Peek(1)
+		cc.SetReadDeadline(time.Now().Add(lastRequestTimeout))
+		_, err = cc.reader.Peek(1)
 	}
 	return err
 }
 
-// serve serves the connection until it ends or, which it says, is parked for a handover. first is the time by which the
-// first request must have come, zero if one has come before.
-func (x *clientConn) serve(first time.Time) (parked bool) {
-	reason, parked := x.serveRequests(first)
+// serve answers requests until the connection is closed or parked for a handover; parked is true for the latter.
+// The first request must be complete by firstRequestBy, which is zero if the connection has had a request before.
+func (cc *clientConn) serve(firstRequestBy time.Time) (parked bool) {
+	reason, parked := cc.serveRequests(firstRequestBy)
 	if !parked {
-		x.finish(reason)
+		cc.finish(reason)
 	}
 	return parked
 }
 
-// serveRequests answers requests until the connection is to be closed, or is parked.
-func (x *clientConn) serveRequests(first time.Time) (reason closeReason, parked bool) {
-	idle := first
-	if first.IsZero() {
-		idle = time.Now().Add(clientIdleTimeout)
+// serveRequests answers requests until the connection must be closed, for the reason returned, or is parked.
+func (cc *clientConn) serveRequests(firstRequestBy time.Time) (reason closeReason, parked bool) {
+	idleUntil := firstRequestBy
+	if firstRequestBy.IsZero() {
+		idleUntil = time.Now().Add(clientIdleTimeout)
 	}
 	for {
-		if x.table.pastReadDeadline() {
+		if cc.table.pastReadDeadline() {
 			return closedStopping, false
 		}
-		if !x.beginWaiting(idle) {
+		if !cc.beginWaiting(idleUntil) {
 			return closedEvicted, false
 		}
-		if err := x.awaitRequest(); errors.Is(err, os.ErrDeadlineExceeded) {
-			parked, again := x.park()
+		if err := cc.awaitRequest(); errors.Is(err, os.ErrDeadlineExceeded) {
+			parked, retry := cc.park()
 			if parked {
 				return "", true
 			}
-			if again {
+			if retry {
 				continue
 			}
-			return x.idleReason(first), false
+			return cc.idleReason(firstRequestBy), false
 		} else if err != nil {
 			return closedByPeer, false
 		}
-		if !x.beginRequest(x.requestDeadline(first)) {
+		if !cc.beginRequest(cc.requestDeadline(firstRequestBy)) {
 			return closedEvicted, false
 		}
-		if reason := x.serveRequest(); reason != "" {
+		if reason := cc.serveRequest(); reason != "" {
 			return reason, false
 		}
-		first, idle = time.Time{}, time.Now().Add(clientIdleTimeout)
+		firstRequestBy, idleUntil = time.Time{}, time.Now().Add(clientIdleTimeout)
 	}
 }
 
-// serveRequest reads one request and answers it; why the connection is to be closed then, empty if it is not.
-func (x *clientConn) serveRequest() closeReason {
-	args, err := readCommand(x.reader)
+// serveRequest reads one request and answers it. It returns why the connection must be closed, or an empty reason.
+func (cc *clientConn) serveRequest() closeReason {
+	args, err := readCommand(cc.reader)
 	if err != nil {
-		return x.unreadableReason(err)
+		return cc.unreadableReason(err)
 	}
-	if !x.completeRequest() { // it came too late to be carried out
-		if !x.answerRequest(x.table.rejectRequest(args)) {
+	if !cc.completeRequest() { // evicted while it was being read: too late to be carried out
+		if !cc.answerRequest(cc.table.rejectRequest(args)) {
 			return closedUnwritten
 		}
 		return closedEvicted
 	}
-	if !x.answerRequest(x.table.handleRequest(args)) {
+	if !cc.answerRequest(cc.table.handleRequest(args)) {
 		return closedUnwritten
 	}
-	x.finishRequest()
+	cc.finishRequest()
 	return ""
 }
 
-// requestDeadline is the time by which a request that begins now must be whole.
-func (x *clientConn) requestDeadline(first time.Time) time.Time {
+// requestDeadline returns the time by which a request that begins to arrive must be complete.
+func (cc *clientConn) requestDeadline(firstRequestBy time.Time) time.Time {
 	switch {
-	case x.table.isClosing():
+	case cc.table.isClosing():
 		return time.Now().Add(lastRequestTimeout)
-	case !first.IsZero():
-		return first
+	case !firstRequestBy.IsZero():
+		return firstRequestBy
 	}
 	return time.Now().Add(requestReadTimeout)
 }
 
-// unreadableReason says why a connection is closed on which no whole request came, and tells its client what was wrong with it.
-func (x *clientConn) unreadableReason(err error) closeReason {
+// unreadableReason returns why a connection is closed whose next request could not be read. If it was
+// malformed, its client gets an error line.
+func (cc *clientConn) unreadableReason(err error) closeReason {
 	switch {
 	case errors.Is(err, errProtocol):
-		x.writeAnswer("-ERR " + err.Error() + "\r\n")
+		cc.writeAnswer("-ERR " + err.Error() + "\r\n")
 		return closedMalformed
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return closedHalfRequest
@@ -289,16 +311,16 @@
 	return closedByPeer
 }
 
-// idleReason says why a connection is closed on which no request has begun to come.
-func (x *clientConn) idleReason(first time.Time) closeReason {
-	x.table.mu.Lock()
-	defer x.table.mu.Unlock()
+// idleReason returns why a connection is closed on which no request has begun to arrive.
+func (cc *clientConn) idleReason(firstRequestBy time.Time) closeReason {
+	cc.table.mu.Lock()
+	defer cc.table.mu.Unlock()
 	switch {
-	case x.state == connClosing:
+	case cc.state == connClosing:
 		return closedEvicted
-	case x.table.closing:
+	case cc.table.closing:
 		return closedStopping
-	case !first.IsZero() && !time.Now().Before(first):
+	case !firstRequestBy.IsZero() && !time.Now().Before(firstRequestBy):
 		return closedNoRequest
 	}
 	return closedIdle
--- a/internal/node/client_eviction.go
+++ b/internal/node/client_eviction.go
@@ -1,64 +1,78 @@
 package node
 
-// Which client's connection makes room for another in a full table.
+// The eviction of client connections: which one is closed first when the table is full or a call needs a descriptor.
 
 import (
 	"net"
 	"time"
 )
 
-// Ranks of connections whose loss is a message's, see clientConn.rank.
+// Ranks of connections whose first request fails if they are closed, see clientConn.evictionRank.
 const (
 	evictionRankStalled = 2
 	evictionRankNew     = 3
 )
 
-// evictionRank says what it costs to close a connection for another, least first: one that has stood idle or silent for as long
-// as clients count on; one that has its answer, since a request that crosses is sent again; one that is silent or stands
-// still with its first request, which fails with it; and one that is new or comes on, if slowly. At -1 it must not be.
-func (x *clientConn) evictionRank(now time.Time) (rank int, since time.Time) {
-	last := x.idleSince
-	if x.lastReadAt.After(last) {
-		last = x.lastReadAt
+// evictionRank returns the order in which connections are evicted, lowest rank first, and the time since which
+// the connection has been inactive:
+//
+//   - 0: it had a request and has been idle for minIdleForEviction, or it had none and has received no byte for
+//     that long. Clients do not expect an idle connection to stay open longer.
+//   - 1: it had a request and has been idle for less. A request that its client sends during the close is sent
+//     again.
+//   - 2 (evictionRankStalled): it had no complete request and has received no byte for stallTimeout. Its first
+//     request fails if it is closed.
+//   - 3 (evictionRankNew): it had no complete request, and it is new or has received bytes within stallTimeout,
+//     however slowly. Its first request fails if it is closed.
+//   - -1: it must not be evicted. It is reading a later request or must answer one, or it is parked or already
+//     closing.
+func (cc *clientConn) evictionRank(now time.Time) (rank int, since time.Time) {
+	lastActivity := cc.idleSince
+	if cc.lastReadAt.After(lastActivity) {
+		lastActivity = cc.lastReadAt
 	}
 	switch {
-	case x.state >= connAnswering || x.state == connReading && x.hasServedRequest: // it is owed an answer, or ends already
-		return -1, last
-	case x.hasServedRequest && now.Sub(x.idleSince) >= minIdleForEviction || !x.hasServedRequest && now.Sub(last) >= minIdleForEviction:
-		return 0, last
-	case x.hasServedRequest:
-		return 1, last
-	case now.Sub(last) > stallTimeout:
-		return evictionRankStalled, last
+	case cc.state >= connAnswering || cc.state == connReading && cc.hasServedRequest:
+		return -1, lastActivity
+	case cc.hasServedRequest && now.Sub(cc.idleSince) >= minIdleForEviction ||
+		!cc.hasServedRequest && now.Sub(lastActivity) >= minIdleForEviction:
+		return 0, lastActivity
+	case cc.hasServedRequest:
+		return 1, lastActivity
+	case now.Sub(lastActivity) > stallTimeout:
+		return evictionRankStalled, lastActivity
 	}
-	return evictionRankNew, last
+	return evictionRankNew, lastActivity
 }
 
-// evict closes the connection that is the least loss, up to a rank, of several the one that has stood so longest.
-// Its place is free at once, or a burst of new ones is turned away while the readers of those that make room still end.
-// Its reader closes it, once it has answered what has come whole. During a handover it keeps its place until then; the
-// table is one over meanwhile. The caller holds c.mu.
-func (c *clients) evict(dearest int) bool {
+// evict evicts the connection with the lowest rank, up to maxRank; of several with this rank, the one that has
+// been inactive longest. It returns false if there is none.
+//
+// The victim leaves the table at once, since otherwise a burst of new connections would be rejected while the
+// readers of the victims still run. Its reader closes it after it has answered the complete requests that have
+// arrived. During a handover the victim stays in the table until then, and the table may exceed its limit;
+// nothing is evicted once the table exceeds it by more than an eighth. The caller holds c.mu.
+func (c *clients) evict(maxRank int) bool {
 	now := time.Now()
-	var worst net.Conn
-	var least int
+	var victim net.Conn
+	var victimRank int
 	var since time.Time
-	for conn, x := range c.conns {
-		rank, t := x.evictionRank(now)
-		if rank >= 0 && rank <= dearest && (worst == nil || rank < least || rank == least && t.Before(since)) {
-			worst, least, since = conn, rank, t
+	for conn, cc := range c.conns {
+		rank, t := cc.evictionRank(now)
+		if rank >= 0 && rank <= maxRank && (victim == nil || rank < victimRank || rank == victimRank && t.Before(since)) {
+			victim, victimRank, since = conn, rank, t
 		}
 	}
-	if worst == nil || len(c.conns) > c.maxConns+c.maxConns/8 {
+	if victim == nil || len(c.conns) > c.maxConns+c.maxConns/8 {
 		return false
 	}
-	c.log.Debug("client evicted", "peer", worst.RemoteAddr(), "rank", least, "since", since)
-	c.conns[worst].setState(connClosing)
-	worst.SetReadDeadline(time.Unix(1, 0))
+	c.log.Debug("client connection evicted", "peer", victim.RemoteAddr(), "rank", victimRank, "since", since)
+	c.conns[victim].setState(connClosing)
+	victim.SetReadDeadline(time.Unix(1, 0))
 	if c.handover != nil {
 		return true
 	}
-	delete(c.conns, worst)
+	delete(c.conns, victim)
 	c.evictedConns++
 	return true
 }
--- a/internal/node/client_eviction_test.go
+++ b/internal/node/client_eviction_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// newSmallTable serves clients with room for 16.
+// newSmallTable starts a client table for 16 connections and returns its address.
 func newSmallTable(t *testing.T) (*clients, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -24,7 +24,7 @@
 	return c, ln.Addr().String()
 }
 
-// A client that opens a connection for every message and leaves each open must not shut itself out.
+// Guards against rejecting a client that opens a connection for each message and leaves all of them open.
 func TestAnsweredConnectionsAreEvicted(t *testing.T) {
 	c, addr := newSmallTable(t)
 	for i := range 3 * c.maxConns {
@@ -34,42 +34,43 @@
 	}
 }
 
-// A client may connect a while before its first request, which fails with the connection; one that has its answer sends
-// a request that crosses once more. So in a full table the answered ones make room first.
+// Guards against evicting a client that connects some time before its first request: this request fails if the
+// connection is closed, while a client that has had an answer sends its request again. So in a full table the
+// answered connections must be evicted first.
 func TestAnsweredClientIsEvictedBeforeSilentOne(t *testing.T) {
 	c, addr := newSmallTable(t)
-	late := dialClient(t, addr)
+	silent := dialClient(t, addr)
 	time.Sleep(stallTimeout + stallTimeout/4) // the client's pause
 	for i := range 2 * c.maxConns {
 		if got := dialClient(t, addr).do("PING"); got != "+PONG" {
 			t.Fatalf("connection %d: got %q", i, got)
 		}
 	}
-	if got := late.do("PING"); got != "+PONG" {
+	if got := silent.do("PING"); got != "+PONG" {
 		t.Errorf("first request after a pause: got %q", got)
 	}
 }
 
-// A burst of new connections finds room however busy the readers of those are that make it.
+// Guards against rejecting a burst of new connections because the readers of evicted connections have not ended yet.
 func TestConnectionBurstIsAdmitted(t *testing.T) {
 	c, _ := newSmallTable(t)
 	c.mu.Lock()
-	defer c.mu.Unlock() // no reader ends meanwhile
+	defer c.mu.Unlock() // so that no reader can end
 	for i := range 3 * c.maxConns {
-		mine, theirs := net.Pipe()
-		t.Cleanup(func() { theirs.Close() })
+		served, client := net.Pipe()
+		t.Cleanup(func() { client.Close() })
 		if len(c.conns) >= c.maxConns && !c.evict(evictionRankNew) {
-			t.Fatalf("connection %d is turned away", i)
+			t.Fatalf("connection %d is rejected", i)
 		}
-		c.conns[mine] = newClientConn(c, mine, time.Now())
+		c.conns[served] = newClientConn(c, served, time.Now())
 	}
 	if len(c.conns) > c.maxConns {
 		t.Errorf("%d connections in a table of %d", len(c.conns), c.maxConns)
 	}
 }
 
-// In a crowd of peers that say nothing or stop midway, a request that comes on slowly is read to its end, and others
-// are served meanwhile.
+// Guards against evicting a client whose first request arrives slowly, while many others connect and send
+// nothing or stop in the middle of a request. Complete requests must be answered meanwhile.
 func TestSlowRequestIsReadWhenTableIsFull(t *testing.T) {
 	c, addr := newSmallTable(t)
 	slow := dialClient(t, addr)
@@ -83,66 +84,67 @@
 			}
 		}
 		if got := dialClient(t, addr).do("PING", fmt.Sprint(i)); got != "$1" && got != "$2" {
-			t.Fatalf("beside the crowd: got %q", got)
+			t.Fatalf("with the table full: got %q", got)
 		}
-		time.Sleep(stallTimeout / 4) // the peer's pace
+		time.Sleep(stallTimeout / 4) // between two bytes of the slow client
 	}
 	if got := slow.readLine(); got != "+PONG" {
 		t.Errorf("slow request: got %q", got)
 	}
 }
 
-// What the connections of clients may hold is a part of the memory that the configuration gives.
+// The number of client connections is limited by clientMemoryShare of the configured memory.
 func TestClientTableSizeFollowsMemory(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		memory float64
 		want   int
 	}{{0, 512}, {32, 120}, {192, 512}} {
-		c := newClients(&Config{Limits: Limits{Sockets: 1024, MemoryMB: x.memory}}, slog.New(slog.DiscardHandler), nil)
-		if c.maxConns != x.want {
-			t.Errorf("%v MB: %d connections, want %d", x.memory, c.maxConns, x.want)
+		c := newClients(&Config{Limits: Limits{Sockets: 1024, MemoryMB: tc.memory}}, slog.New(slog.DiscardHandler), nil)
+		if c.maxConns != tc.want {
+			t.Errorf("%v MB: %d connections, want %d", tc.memory, c.maxConns, tc.want)
 		}
 	}
 }
 
-// Calls and clients share the descriptors: a call's connection makes an idle client give way, but not below the third
-// that clients may hold, and then idle connections to endpoints give way. Each is given back with its connection.
+// Calls and clients share the descriptors. A call's connection evicts an idle client as long as clients hold
+// more than their reserve of a third; after that, it takes the place of an idle connection to an endpoint. Each
+// descriptor is given back exactly once, also if its connection is closed twice.
 func TestCallsAndClientsShareDescriptors(t *testing.T) {
 	c := newClients(&Config{Limits: Limits{Sockets: 96}}, slog.New(slog.DiscardHandler), nil)
-	calls := c.shareDescriptors(96, 0)
-	if calls != 96-96/4-32 {
-		t.Fatalf("%d calls", calls)
+	maxCalls := c.shareDescriptors(96, 0)
+	if maxCalls != 96-96/4-32 {
+		t.Fatalf("%d calls possible", maxCalls)
 	}
 	for range c.maxConns {
-		mine, theirs := net.Pipe()
-		t.Cleanup(func() { theirs.Close() })
-		c.conns[mine] = newClientConn(c, mine, time.Now().Add(-time.Minute))
-		c.conns[mine].hasServedRequest = true
+		served, client := net.Pipe()
+		t.Cleanup(func() { client.Close() })
+		c.conns[served] = newClientConn(c, served, time.Now().Add(-time.Minute))
+		c.conns[served].hasServedRequest = true
 	}
 	e := newTestEndpoint(t)
-	x := newTransport(time.Second, time.Minute, 100, 100)
-	x.clients = c
+	tr := newTransport(time.Second, time.Minute, 100, 100)
+	tr.clients = c
 	var conns []*endpointConn
-	for range calls {
-		conn, err := x.connect(t.Context(), &call{endpoint: 1, addr: e.addr(), mayWrite: func(context.Context) bool { return true }}, time.Now().Add(testTimeout))
+	for range maxCalls {
+		conn, err := tr.connect(t.Context(), &call{endpoint: 1, addr: e.addr(), mayWrite: func(context.Context) bool { return true }}, time.Now().Add(testTimeout))
 		if err != nil {
 			t.Fatal(err)
 		}
 		conns = append(conns, conn)
 	}
-	if len(c.conns) != 32 || c.descriptors.callConns != calls {
-		t.Errorf("%d clients beside %d calls", len(c.conns), c.descriptors.callConns)
+	if len(c.conns) != 32 || c.descriptors.callConns != maxCalls {
+		t.Errorf("%d clients and %d calls", len(c.conns), c.descriptors.callConns)
 	}
-	soon, stop := context.WithTimeout(t.Context(), time.Millisecond)
-	defer stop()
-	if err := x.acquireDescriptor(soon); err != errNoDescriptor {
-		t.Errorf("one call too many: %v", err)
+	ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
+	defer cancel()
+	if err := tr.acquireDescriptor(ctx); err != errNoDescriptor {
+		t.Errorf("one call too many: got %v, want errNoDescriptor", err)
 	}
-	if !x.putIdle(1, conns[0]) {
-		t.Fatal("not kept")
+	if !tr.putIdle(1, conns[0]) {
+		t.Fatal("the connection was not put on the idle list")
 	}
-	if err := x.acquireDescriptor(t.Context()); err != nil || x.idleCount() != 0 {
-		t.Errorf("in place of an idle one: %v", err)
+	if err := tr.acquireDescriptor(t.Context()); err != nil || tr.idleCount() != 0 {
+		t.Errorf("in place of an idle connection: %v", err)
 	}
 	c.releaseCallDescriptor()
 	for _, conn := range conns[1:] {
@@ -150,6 +152,6 @@
 		conn.Close()
 	}
 	if c.descriptors.callConns != 0 {
-		t.Errorf("%d counted, none is open", c.descriptors.callConns)
+		t.Errorf("%d connections counted, want 0", c.descriptors.callConns)
 	}
 }
--- a/internal/node/client_handover.go
+++ b/internal/node/client_handover.go
@@ -1,6 +1,6 @@
 package node
 
-// Clients' connections at a handover to another process.
+// Client connections during a handover to another process: which are transferred, and what happens to the others.
 
 import (
 	"bufio"
@@ -10,45 +10,46 @@
 	"time"
 )
 
-// clientHandover is a handover that is being made.
+// clientHandover is the state of a handover in progress.
 type clientHandover struct {
-	sealed  bool          // the state is packed: nothing more goes with it
-	decided chan struct{} // closed once it is known who goes on
-	parked  []net.Conn    // connections that wait for their next request, with no reader
+	sealed  bool          // the state is complete: nothing more is transferred
+	decided chan struct{} // closed once it is known which process goes on
+	parked  []net.Conn    // idle connections without a reader
 }
 
-// freeze brings connections to rest for a handover: those that wait for a request are parked, with what has come on
-// them left unread. It does not wait for that.
+// freeze starts a handover: it wakes the readers of idle connections, which park them and leave unread what has
+// arrived. It does not wait for that.
 func (c *clients) freeze() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.handover = &clientHandover{decided: make(chan struct{})}
-	for _, x := range c.conns {
-		if x.state == connIdle {
-			x.SetReadDeadline(time.Unix(1, 0))
+	for _, cc := range c.conns {
+		if cc.state == connIdle {
+			cc.SetReadDeadline(time.Unix(1, 0))
 		}
 	}
 }
 
-// allFrozen says whether all connections are at rest; those that have half a request, or wait to write, do not count
-// if late is true. Once it has said yes, nothing more is parked.
-func (c *clients) allFrozen(late bool) bool {
+// allFrozen reports whether all connections are parked, no connection is being accepted and no message waits
+// for the loop's answer. If timedOut is true, connections that are reading a request, writing an answer or
+// closing are not waited for. Once it has returned true, nothing more is parked.
+func (c *clients) allFrozen(timedOut bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	rest := len(c.handover.parked)
-	for _, x := range c.conns {
-		if late && x.state != connIdle && x.state != connParked {
-			rest++
+	atRest := len(c.handover.parked)
+	for _, cc := range c.conns {
+		if timedOut && cc.state != connIdle && cc.state != connParked {
+			atRest++
 		}
 	}
-	if c.accepting || c.pendingRequests > 0 || rest < len(c.conns) {
+	if c.accepting || c.pendingRequests > 0 || atRest < len(c.conns) {
 		return false
 	}
 	c.handover.sealed = true
 	return true
 }
 
-// parkedConns lists the parked connections.
+// parkedConns returns the parked connections, and for each what the new process must know of it.
 func (c *clients) parkedConns() ([]net.Conn, []transferClient) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,46 +58,47 @@
 	}
 	var states []transferClient
 	for _, conn := range c.handover.parked {
-		x := c.conns[conn]
-		states = append(states, transferClient{c.clock.Micros(x.idleSince), x.hasServedRequest})
+		cc := c.conns[conn]
+		states = append(states, transferClient{c.clock.Micros(cc.idleSince), cc.hasServedRequest})
 	}
 	return c.handover.parked, states
 }
 
-// adopt serves a connection that another process has handed over.
-func (c *clients) adopt(conn net.Conn, from transferClient) {
+// adopt starts serving a connection that another process has handed over.
+func (c *clients) adopt(conn net.Conn, state transferClient) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	x := newClientConn(c, conn, c.clock.Time(from.Since))
-	x.hasServedRequest = from.Proven
-	c.conns[conn] = x
-	c.startConn(x, x.firstRequestDeadline())
+	cc := newClientConn(c, conn, c.clock.Time(state.Since))
+	cc.hasServedRequest = state.Proven
+	c.conns[conn] = cc
+	c.startConn(cc, cc.firstRequestDeadline())
 }
 
-// firstRequestDeadline is the time by which the first request must have come, zero if one has. The caller holds the table's lock.
-func (x *clientConn) firstRequestDeadline() time.Time {
-	if !x.hasServedRequest {
-		return x.idleSince.Add(requestReadTimeout)
+// firstRequestDeadline returns the time by which the first request must be complete, zero if there has been
+// one. The caller holds the table's lock.
+func (cc *clientConn) firstRequestDeadline() time.Time {
+	if !cc.hasServedRequest {
+		return cc.idleSince.Add(requestReadTimeout)
 	}
 	return time.Time{}
 }
 
-// endHandover ends the handover that is being made. The caller holds c.mu.
+// endHandover ends the handover in progress. The caller holds c.mu.
 func (c *clients) endHandover() {
 	close(c.handover.decided)
 	c.handover = nil
 }
 
-// resumeParked reads requests again from connections that were parked. The caller holds c.mu.
+// resumeParked starts readers again for connections that were parked. The caller holds c.mu.
 func (c *clients) resumeParked(parked []net.Conn) {
 	for _, conn := range parked {
-		x := c.conns[conn]
-		x.setState(connIdle)
-		c.startConn(x, x.firstRequestDeadline())
+		cc := c.conns[conn]
+		cc.setState(connIdle)
+		c.startConn(cc, cc.firstRequestDeadline())
 	}
 }
 
-// unfreeze goes on as before: nobody has taken over.
+// unfreeze ends a handover that failed: this process goes on serving the parked connections.
 func (c *clients) unfreeze(parked []net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,57 +106,59 @@
 	c.resumeParked(parked)
 }
 
-// completeHandover gives up the connections that went to the process that serves at next. What is left here comes to its end
-// as at a shutdown, and requests go to that process.
-func (c *clients) completeHandover(next string, gone, left []net.Conn) {
+// completeHandover ends a handover that succeeded. It closes this process's descriptors of the transferred
+// connections. The remaining connections are closed as at a shutdown, and messages that arrive on them are
+// forwarded to the new process, which serves clients at successorAddr.
+func (c *clients) completeHandover(successorAddr string, transferred, remaining []net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closing, c.successorAddr = true, next
+	c.closing, c.successorAddr = true, successorAddr
 	c.endHandover()
-	for _, conn := range gone { // they stay open in that process
+	for _, conn := range transferred { // they stay open in the new process
 		conn.Close()
 		delete(c.conns, conn)
 	}
-	c.resumeParked(left)
+	c.resumeParked(remaining)
 }
 
-// park sets the connection aside for a handover; if it is too late for that, it waits until it is known who goes on.
-// With no handover under way both are false.
-func (x *clientConn) park() (parked, again bool) {
-	c := x.table
+// park parks the connection for a handover. If it is too late for that, park waits until it is known which
+// process goes on, and retry is true. Without a handover, or if the connection is closing, both are false.
+func (cc *clientConn) park() (parked, retry bool) {
+	c := cc.table
 	c.mu.Lock()
-	h := c.handover
+	handover := c.handover
 	switch {
-	case h == nil || x.state == connClosing:
+	case handover == nil || cc.state == connClosing:
 		c.mu.Unlock()
 		return false, false
-	case !h.sealed:
-		x.setState(connParked)
-		h.parked = append(h.parked, x.Conn)
+	case !handover.sealed:
+		cc.setState(connParked)
+		handover.parked = append(handover.parked, cc.Conn)
 		c.mu.Unlock()
 		return true, false
 	}
 	c.mu.Unlock()
-	<-h.decided
+	<-handover.decided
 	return false, true
 }
 
-// admitRequest counts a request in, and says where it goes: to the loop if next is empty. During a handover it waits until
-// that is known. leave must follow if it is the loop.
-func (c *clients) admitRequest() (next string) {
+// admitRequest decides where a message goes: to the loop if successorAddr is empty, otherwise to that address.
+// During a handover it waits until that is known. A message for the loop counts as pending until
+// releaseRequest, which must follow.
+func (c *clients) admitRequest() (successorAddr string) {
 	for {
 		c.mu.Lock()
-		h := c.handover
-		if h == nil || !h.sealed {
-			next = c.successorAddr
-			if next == "" {
+		handover := c.handover
+		if handover == nil || !handover.sealed {
+			successorAddr = c.successorAddr
+			if successorAddr == "" {
 				c.pendingRequests++
 			}
 			c.mu.Unlock()
-			return next
+			return successorAddr
 		}
 		c.mu.Unlock()
-		<-h.decided
+		<-handover.decided
 	}
 }
 
@@ -164,20 +168,20 @@
 	c.pendingRequests--
 }
 
-// forwardRequest hands a request to the process that has taken over, as a client of it.
-func forwardRequest(next string, args [][]byte) string {
-	conn, err := net.DialTimeout("tcp", next, lastRequestTimeout)
+// forwardRequest sends a request to the process that has taken over, as one of its clients, and returns the answer.
+func forwardRequest(addr string, args [][]byte) string {
+	conn, err := net.DialTimeout("tcp", addr, lastRequestTimeout)
 	if err != nil {
 		return busyAnswer(0)
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(answerTimeout))
 	b := fmt.Appendf(nil, "*%d\r\n", len(args))
-	for _, a := range args {
-		b = fmt.Appendf(b, "$%d\r\n%s\r\n", len(a), a)
+	for _, arg := range args {
+		b = fmt.Appendf(b, "$%d\r\n%s\r\n", len(arg), arg)
 	}
 	if _, err := conn.Write(b); err != nil {
-		return busyAnswer(0) // not all of it is written, so it is not taken on
+		return busyAnswer(0) // an incomplete request is not accepted, so the client may retry
 	}
 	line, err := bufio.NewReaderSize(io.LimitReader(conn, maxOverheadBytes), maxOverheadBytes).ReadString('\n')
 	if err != nil {
--- a/internal/node/descriptor_reserve_test.go
+++ b/internal/node/descriptor_reserve_test.go
@@ -15,7 +15,8 @@
 	"crossdeal/internal/discovery"
 )
 
-// unreliablePlatform is a platform whose machine can be lost: it refuses connections, resets them, or says nothing on them.
+// unreliablePlatform is a platform that can be made to refuse connections, reset them, or accept them without
+// answering.
 type unreliablePlatform struct {
 	*testPlatform
 	addr     string
@@ -30,104 +31,105 @@
 
 func newUnreliablePlatform(t *testing.T) *unreliablePlatform {
 	t.Helper()
-	o := &unreliablePlatform{testPlatform: newTestPlatform(t), addr: "127.53.0.1:0", accepted: make(chan net.Conn, 64), closed: make(chan struct{})}
-	o.setState(t, "up")
-	srv := &http.Server{Handler: o.server.Config.Handler}
-	go srv.Serve(o)
-	o.server.URL = "http://" + o.addr
-	t.Cleanup(func() { o.setState(t, "refused"); srv.Close() })
-	return o
+	p := &unreliablePlatform{testPlatform: newTestPlatform(t), addr: "127.53.0.1:0", accepted: make(chan net.Conn, 64), closed: make(chan struct{})}
+	p.setState(t, "up")
+	srv := &http.Server{Handler: p.server.Config.Handler}
+	go srv.Serve(p)
+	p.server.URL = "http://" + p.addr
+	t.Cleanup(func() { p.setState(t, "refused"); srv.Close() })
+	return p
 }
 
-// setState ends all connections and goes on in another state.
-func (o *unreliablePlatform) setState(t *testing.T, state string) {
+// setState closes all connections and changes the state.
+func (p *unreliablePlatform) setState(t *testing.T, state string) {
 	t.Helper()
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.state = state
-	for _, c := range o.conns {
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.state = state
+	for _, conn := range p.conns {
+		conn.(*net.TCPConn).SetLinger(0)
+		conn.Close()
 	}
-	o.conns = nil
+	p.conns = nil
 	if state == "refused" {
-		if o.listener != nil {
-			o.listener.Close()
+		if p.listener != nil {
+			p.listener.Close()
 		}
-		o.listener = nil
+		p.listener = nil
 		return
 	}
-	if o.listener != nil {
+	if p.listener != nil {
 		return
 	}
-	ln, err := net.Listen("tcp", o.addr)
+	ln, err := net.Listen("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.listener, o.addr = ln, ln.Addr().String()
+	p.listener, p.addr = ln, ln.Addr().String()
 	go func() {
 		for {
 			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			o.mu.Lock()
-			o.conns = append(o.conns, conn)
-			switch o.state {
+			p.mu.Lock()
+			p.conns = append(p.conns, conn)
+			switch p.state {
 			case "up":
-				o.accepted <- conn
+				p.accepted <- conn
 			case "silent":
 			default:
 				conn.(*net.TCPConn).SetLinger(0)
 				conn.Close()
 			}
-			o.mu.Unlock()
+			p.mu.Unlock()
 		}
 	}()
 }
 
-// Accept, Close and Addr make it the listener of a server that gets what comes while it is up.
-func (o *unreliablePlatform) Accept() (net.Conn, error) {
+// Accept, Close and Addr implement net.Listener for the HTTP server, with the connections that arrive in state "up".
+func (p *unreliablePlatform) Accept() (net.Conn, error) {
 	select {
-	case conn := <-o.accepted:
+	case conn := <-p.accepted:
 		return conn, nil
-	case <-o.closed:
+	case <-p.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (o *unreliablePlatform) Close() error   { o.once.Do(func() { close(o.closed) }); return nil }
-func (o *unreliablePlatform) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *unreliablePlatform) Close() error   { p.once.Do(func() { close(p.closed) }); return nil }
+func (p *unreliablePlatform) Addr() net.Addr { return &net.TCPAddr{} }
 
-// openIdleClients keeps many connections open that say nothing, until the test ends, and opens each anew that is closed.
-func openIdleClients(t *testing.T, addr string, many int) (open *atomic.Int64) {
+// openIdleClients keeps count connections open that send nothing, and reopens each that is closed, until the
+// test ends. It returns the number that is open.
+func openIdleClients(t *testing.T, addr string, count int) (open *atomic.Int64) {
 	t.Helper()
 	open = new(atomic.Int64)
-	over := make(chan struct{})
-	var all sync.WaitGroup
-	t.Cleanup(func() { close(over); all.Wait() })
-	for range many {
-		all.Go(func() {
+	done := make(chan struct{})
+	var wg sync.WaitGroup
+	t.Cleanup(func() { close(done); wg.Wait() })
+	for range count {
+		wg.Go(func() {
 			for {
 				conn, err := net.Dial("tcp", addr)
 				if err == nil {
 					open.Add(1)
-					stop := make(chan struct{})
+					connClosed := make(chan struct{})
 					go func() {
-						defer close(stop)
+						defer close(connClosed)
 						conn.Read(make([]byte, 1)) // until the sender closes it
 					}()
 					select {
-					case <-over:
-					case <-stop:
+					case <-done:
+					case <-connClosed:
 					}
 					open.Add(-1)
 					conn.Close()
 				}
 				select {
-				case <-over:
+				case <-done:
 					return
-				case <-time.After(200 * time.Millisecond): // the crowd's pace
+				case <-time.After(200 * time.Millisecond): // before the next attempt
 				}
 			}
 		})
@@ -135,11 +137,11 @@
 	return open
 }
 
-// Idle clients fill all that is accepted, and calls are out at endpoints that do not answer, while discovery is down:
-// no descriptor is free but those kept for discovery and notices. When it is back it is reached, by the list and by
-// notices.
+// Guards against running out of descriptors for discovery. While discovery is down, idle clients fill the
+// client table and calls wait for endpoints that do not answer, so that only the descriptors reserved for the
+// process are free. Once discovery is back, the list and the notices must get through.
 func TestDiscoveryIsReachedWithAllDescriptorsInUse(t *testing.T) {
-	const sockets, slots, hang = 256, 160, 120 // half of the descriptors for clients, and the calls: more than there are
+	const sockets, slots, hungCalls = 256, 160, 120 // half of the descriptors for clients plus the calls exceed them
 	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
@@ -147,65 +149,67 @@
 	for _, state := range []string{"refused", "reset", "silent"} {
 		t.Run(state, func(t *testing.T) {
 			t.Parallel()
-			o, dir := newUnreliablePlatform(t), t.TempDir()
+			platform, dir := newUnreliablePlatform(t), t.TempDir()
 			hung := []*testEndpoint{newTestEndpoint(t), newTestEndpoint(t)}
-			late := newTestEndpoint(t)
+			newEndpoint := newTestEndpoint(t)
 			known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(hung...)}
 			for i := range known.Instances {
 				known.Instances[i].Destination, known.Instances[i].Weight = int64(i+1), 1e6
 			}
-			o.list = known
+			platform.list = known
 			text := strings.NewReplacer(`"call_slots":6`, fmt.Sprintf(`"call_slots":%d`, slots), `"max_open":8`, `"max_open":400`).
-				Replace(string(configText(o.testPlatform, known)))
-			x := startProcessWithConfig(t, o.testPlatform, dir, []byte(text), "127.0.0.1:0",
+				Replace(string(configText(platform.testPlatform, known)))
+			proc := startProcessWithConfig(t, platform.testPlatform, dir, []byte(text), "127.0.0.1:0",
 				exec.Command("sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, sockets), path))
-			o.setState(t, state)
-			c := dialClient(t, x.addr)
-			put := func(id, class string, ms, dest int) {
-				if got := c.do("MSG.PUT", "0", id, fmt.Sprintf("c=%s,d=%d,dest=%d", class, ms, dest), "x"); got != "+OK" {
+			platform.setState(t, state)
+			c := dialClient(t, proc.addr)
+			put := func(id, class string, deadlineMS, destination int) {
+				if got := c.do("MSG.PUT", "0", id, fmt.Sprintf("c=%s,d=%d,dest=%d", class, deadlineMS, destination), "x"); got != "+OK" {
 					t.Fatalf("put %s: %q", id, got)
 				}
 			}
 			put("later", "safe", 60000, 3)
 			put("over", "unsafe", 1500, 4)
-			for i := range hang {
+			for i := range hungCalls {
 				put(fmt.Sprint("m", i), "unsafe", 60000, 1+i%2)
 			}
-			open := openIdleClients(t, x.addr, sockets)
-			most, out := 0, 0
+			open := openIdleClients(t, proc.addr, sockets)
+			maxInUse, callsOut := 0, 0
 			for stop := time.Now().Add(5 * time.Second); time.Now().Before(stop); time.Sleep(50 * time.Millisecond) {
-				fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", x.cmd.Process.Pid))
+				fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", proc.cmd.Process.Pid))
 				if err != nil {
 					t.Fatal(err)
 				}
-				most = max(most, len(fds))
+				maxInUse = max(maxInUse, len(fds))
 				for _, e := range hung {
 					for len(e.calls) > 0 {
 						<-e.calls
-						out++
+						callsOut++
 					}
 				}
 			}
-			t.Logf("%d calls out, %d idle clients, at most %d of %d descriptors in use", out, open.Load(), most, sockets)
-			if most > sockets-8 { // those that are free for discovery and notices
-				t.Errorf("%d descriptors in use", most)
+			t.Logf("%d calls in progress, %d idle clients, at most %d of %d descriptors in use",
+				callsOut, open.Load(), maxInUse, sockets)
+			if maxInUse > sockets-8 { // the rest is for discovery and notices
+				t.Errorf("%d descriptors in use", maxInUse)
 			}
-			at := time.Now()
+			recoveredAt := time.Now()
 			known.Generation = 2
-			known.Instances = append(known.Instances, discovery.Instance{ID: "late", HostPort: late.addr(), Zone: "a", Kind: "std", Destination: 3, Lifecycle: "up", Weight: 1e6})
-			o.update(func() { o.list = known })
-			o.setState(t, "up")
-			in := await(t, late.calls, "call at the new endpoint")
-			called := time.Since(at)
-			in.reply(200)
-			if n := await(t, o.notices, "notice"); n.ID != "over" || n.State != "returned" {
+			known.Instances = append(known.Instances, discovery.Instance{ID: "late", HostPort: newEndpoint.addr(), Zone: "a", Kind: "std", Destination: 3, Lifecycle: "up", Weight: 1e6})
+			platform.update(func() { platform.list = known })
+			platform.setState(t, "up")
+			newCall := await(t, newEndpoint.calls, "call at the new endpoint")
+			firstCallAfter := time.Since(recoveredAt)
+			newCall.reply(200)
+			if n := await(t, platform.notices, "notice"); n.ID != "over" || n.State != "returned" {
 				t.Errorf("notice %+v", n)
 			}
-			t.Logf("the change was in force %v after the return, the notice there after %v", called, time.Since(at))
-			if got := dialClient(t, x.addr).do("PING"); got != "+PONG" {
+			t.Logf("first call at the new endpoint %v after the recovery, notice after %v",
+				firstCallAfter, time.Since(recoveredAt))
+			if got := dialClient(t, proc.addr).do("PING"); got != "+PONG" {
 				t.Errorf("a new client got %q", got)
 			}
-			x.kill()
+			proc.kill()
 		})
 	}
 }
--- a/internal/node/descriptors.go
+++ b/internal/node/descriptors.go
@@ -1,30 +1,42 @@
 package node
 
+// The division of the file descriptors between client connections, calls and the process itself.
+
 import "syscall"
 
 const (
-	processDescriptors = 32 // of the process itself: discovery, notices, journal, saved list, listeners, handover, runtime
-	clientShareDivisor = 3  // clients may hold a third of the descriptors for requests
-	maxEvictedConns    = 4  // connections that made room and have not given their descriptors back yet
+	// processDescriptors is for the process itself: discovery, notices, journal, saved list, listeners,
+	// handover, runtime.
+	processDescriptors = 32
+	clientShareDivisor = 3 // a third of the descriptors is reserved for clients
+	maxEvictedConns    = 4 // evicted connections that may hold their descriptors before serve waits for their readers
 )
 
-// descriptors share out what the process may hold between clients' connections and calls, whichever need them; the
-// rest is kept for the process itself, so that no crowd and no endpoint keeps it from discovery.
+// descriptors divides the descriptors that the process may hold:
+//
+//   - One part is for the process itself and for operators, see shareDescriptors. Neither many clients nor
+//     endpoints that do not answer can take it, so that discovery stays reachable.
+//   - The rest, limit, is for the connections of clients and calls together, whichever need them. Calls leave
+//     clientReserve of it to clients. Beyond that, a call that needs a descriptor may evict a client connection,
+//     and a new client connection finds room only if calls leave it.
 type descriptors struct {
-	limit         int // for connections of clients and of calls together; 0 for no bound
-	callConns     int // connections of calls, idle ones too
-	clientReserve int // for clients at least: calls leave them so many
+	limit         int // for connections of clients and calls together; 0 for no limit
+	callConns     int // connections of calls, including idle ones
+	clientReserve int // reserved for clients
 }
 
-// shareDescriptors bounds what clients and calls hold, and returns how many calls may be out at least. A part of
-// the descriptors is for operators.
-func (c *clients) shareDescriptors(sockets, operators int) (calls int) {
-	own := min(processDescriptors+operators, sockets/4)
-	c.descriptors = descriptors{limit: sockets - own, clientReserve: min(c.maxConns, sockets/clientShareDivisor)}
+// shareDescriptors divides sockets descriptors and returns the maximum number of concurrent calls, at least 1.
+// The process itself gets processDescriptors and one for each operator connection, but at most a quarter.
+// Clients have a third reserved, or as many as their table may hold if that is fewer. Calls can use what is
+// left.
+func (c *clients) shareDescriptors(sockets, operators int) (maxCalls int) {
+	reserved := min(processDescriptors+operators, sockets/4)
+	c.descriptors = descriptors{limit: sockets - reserved, clientReserve: min(c.maxConns, sockets/clientShareDivisor)}
 	return max(c.descriptors.limit-c.descriptors.clientReserve, 1)
 }
 
-// connLimit is how many connections of clients there may be now. The caller holds c.mu.
+// connLimit returns how many client connections there may be: what calls leave, but at least the reserve and at most
+// maxConns. The caller holds c.mu.
 func (c *clients) connLimit() int {
 	if c.descriptors.limit == 0 {
 		return c.maxConns
@@ -32,20 +44,21 @@
 	return min(c.maxConns, max(c.descriptors.limit-c.descriptors.callConns, c.descriptors.clientReserve))
 }
 
-// acquireCallDescriptor takes a descriptor for a call's connection, in place of a client up to a rank if need be; false if there
-// is none. endCall gives it back.
-func (c *clients) acquireCallDescriptor(dearest int) bool {
+// acquireCallDescriptor takes a descriptor for the connection of a call. If none is free, it evicts a client
+// connection of a rank up to maxRank. It returns false if calls hold all that they may, or no client can be
+// evicted. releaseCallDescriptor gives the descriptor back.
+func (c *clients) acquireCallDescriptor(maxRank int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := &c.descriptors
-	if f.limit > 0 && (f.callConns+f.clientReserve >= f.limit || len(c.conns)+f.callConns >= f.limit && !c.evict(dearest)) {
+	d := &c.descriptors
+	if d.limit > 0 && (d.callConns+d.clientReserve >= d.limit || len(c.conns)+d.callConns >= d.limit && !c.evict(maxRank)) {
 		return false
 	}
-	f.callConns++
+	d.callConns++
 	return true
 }
 
-// addCallDescriptor counts a connection that is there already.
+// addCallDescriptor counts a connection of a call that is already open.
 func (c *clients) addCallDescriptor() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +71,8 @@
 	c.descriptors.callConns--
 }
 
-// descriptorLimit is how many descriptors the process may hold: what the platform says, or less where the system does.
+// descriptorLimit returns how many descriptors the process may hold: the configured number (1024 if that is not
+// positive), or the soft limit of the operating system if that is lower.
 func descriptorLimit(sockets int) int {
 	if sockets <= 0 {
 		sockets = 1024
--- a/internal/node/put.go
+++ b/internal/node/put.go
@@ -1,6 +1,6 @@
 package node
 
-// The request that hands a message in.
+// The MSG.PUT request, by which a client submits a message.
 
 import (
 	"errors"
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// parsePut reads the arguments of MSG.PUT.
+// parsePut parses the arguments of MSG.PUT: order key (empty or only zeros for none), id, attributes as
+// name=value pairs, and body.
 func (c *clients) parsePut(args [][]byte, now time.Time) (Message, error) {
 	var m Message
 	if len(args) != 4 {
@@ -25,7 +26,7 @@
 	if m.ID == "" || len(m.ID) > maxIDBytes || !isHeaderSafe(m.ID) {
 		return m, errors.New("bad id")
 	}
-	var haveTime, haveDest bool
+	var haveDeadline, haveDestination bool
 	for _, pair := range strings.Split(string(args[2]), ",") {
 		name, value, ok := strings.Cut(pair, "=")
 		if !ok {
@@ -46,16 +47,16 @@
 			if err != nil || ms < 0 || ms > maxPeerDuration.Milliseconds() {
 				return m, errors.New("bad time")
 			}
-			m.Deadline, haveTime = c.clock.Micros(now.Add(time.Duration(ms)*time.Millisecond)), true
+			m.Deadline, haveDeadline = c.clock.Micros(now.Add(time.Duration(ms)*time.Millisecond)), true
 		case "dest":
 			n, err := strconv.ParseInt(value, 10, 64)
 			if err != nil || n < 0 {
 				return m, errors.New("bad destination")
 			}
-			m.Destination, haveDest = n, true
+			m.Destination, haveDestination = n, true
 		}
 	}
-	if !haveTime || !haveDest {
+	if !haveDeadline || !haveDestination {
 		return m, errors.New("d and dest must be given")
 	}
 	class, ok := c.cfg.ClassIndexes[m.Class]
@@ -71,7 +72,7 @@
 	return m, nil
 }
 
-// isHeaderSafe says whether s may stand in a header.
+// isHeaderSafe reports whether s has only visible ASCII characters and so may be an HTTP header's value.
 func isHeaderSafe(s string) bool {
 	return strings.IndexFunc(s, func(r rune) bool { return r <= ' ' || r > '~' }) < 0
 }
--- a/internal/node/resp_test.go
+++ b/internal/node/resp_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Lengths come from outside: none may take memory, time or the process before it is checked.
+// Lengths come from clients: each must be checked before it can cost memory or time or crash the process.
 func TestReadCommandMalformed(t *testing.T) {
 	for _, in := range []string{
 		"PING\r\n", "*\r\n", "*0\r\n", "*-1\r\n", "*1000000000\r\n", "*99999999999999999999\r\n", "*1\n$4\r\nPING\r\n",
--- a/internal/node/socket.go
+++ b/internal/node/socket.go
@@ -1,6 +1,7 @@
 package node
 
-// What the system knows of a connection, besides its bytes.
+// Socket operations besides reading and writing: counts of unread and unacknowledged bytes, and whether the peer has
+// closed the connection.
 
 import (
 	"cmp"
@@ -13,31 +14,31 @@
 )
 
 const (
-	closeAckTimeout      = 50 * time.Millisecond // for a peer to acknowledge the last that was written, before the close
+	closeAckTimeout      = 50 * time.Millisecond // for a peer to acknowledge what was written, before a close
 	closeAckPollInterval = time.Millisecond
 )
 
-// awaitAck ends the sending and waits, for a moment at most, until the peer has acknowledged all that was written: the
-// reset that a close over unread bytes sends would overtake those that are still under way. It reads nothing. The end of
-// the sending counts as one byte and is acknowledged without delay.
+// awaitAck closes the sending direction and waits up to closeAckTimeout until the peer has acknowledged all
+// that was written. A close with unread bytes sends a reset, which would overtake written bytes that have not
+// arrived yet. It reads nothing. The FIN counts as one byte and is acknowledged without delay.
 func awaitAck(conn net.Conn) {
-	half, ok := conn.(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	writeCloser, ok := conn.(interface{ CloseWrite() error })
+	if !ok || writeCloser.CloseWrite() != nil {
 		return
 	}
-	for by := time.Now().Add(closeAckTimeout); time.Now().Before(by); time.Sleep(closeAckPollInterval) {
-		left, err := socketByteCount(conn, unix.SIOCOUTQ)
-		if err == nil && left == 0 {
+	for deadline := time.Now().Add(closeAckTimeout); time.Now().Before(deadline); time.Sleep(closeAckPollInterval) {
+		unacknowledged, err := socketByteCount(conn, unix.SIOCOUTQ)
+		if err == nil && unacknowledged == 0 {
 			return
 		}
 		if err != nil && !hasData(conn) {
-			return // the system does not tell; without unread bytes there is no reset
+			return // the system gives no count; without unread bytes the close sends no reset
 		}
 	}
 }
 
-// peekConn looks at a connection without reading or waiting: whether the peer has it
-// open still, and whether something has come.
+// peekConn checks a connection without reading or waiting: alive says whether the peer has not closed it, data
+// whether bytes have arrived.
 func peekConn(conn net.Conn) (alive, data bool) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
@@ -56,25 +57,26 @@
 	return alive && err == nil, data
 }
 
-// hasData says whether something can be read without waiting.
+// hasData reports whether bytes can be read without waiting.
 func hasData(conn net.Conn) bool {
 	_, data := peekConn(conn)
 	return data
 }
 
-// availableBytes is the number of bytes that can be read without waiting.
+// availableBytes returns the number of bytes that can be read without waiting.
 func availableBytes(conn net.Conn) int {
 	if !hasData(conn) {
 		return 0
 	}
 	count, err := socketByteCount(conn, unix.SIOCINQ)
 	if err != nil {
-		return maxBulkBytes + maxOverheadBytes // the system does not tell
+		return maxBulkBytes + maxOverheadBytes // the system gives no count: assume the largest request
 	}
 	return count
 }
 
-// socketByteCount asks the system for a count of bytes that it holds for a connection.
+// socketByteCount asks the system for a byte count of a socket: request is SIOCINQ for unread bytes and SIOCOUTQ for
+// unacknowledged ones.
 func socketByteCount(conn net.Conn, request uint) (count int, err error) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
