--- a/logic/ejection.go
+++ b/logic/ejection.go
@@ -1,6 +1,10 @@
 package logic
 
-// Outlier ejection: endpoints that seem out get single trials only.
+// Outlier ejection. An endpoint that seems to be down is ejected: it gets single trial calls, further and
+// further apart, until one is answered. Single calls fail by chance everywhere, so an endpoint is ejected
+// only for a run of failures that is too improbable at the usual failure rate, for a high share of
+// failures, for calls that get no answer, or for lasting rejections. After an outage the endpoint is
+// recovering and its traffic is budgeted (slow_start.go).
 
 import (
 	"math"
@@ -8,28 +12,41 @@
 )
 
 const (
-	// ours: weight of the newest outcome in an endpoint's share of failures
+	// Weight of the newest outcome in an endpoint's failure rate.
 	failureRateAlpha = 0.07
-	// ours: weight of the newest call in the share of calls that fail by chance
-	chanceFailureAlpha   = 0.02
-	minChanceFailureRate = 0.01   // ours: it is never taken for less than this ...
-	maxChanceFailureRate = 0.3    // ours: ... nor for more
-	outageProbability    = 0.0002 // ours: a run of failures less likely by chance than this is an outage
-	doubtProbability     = 0.05   // ours: and one less likely than this keeps unsafe messages away
-	// ours: an answer this fresh speaks for an endpoint that refuses a connection
-	freshAnswerAge    = Second
-	outageFailureRate = 0.45 // ours: failing more than this is an outage
-	// ours: what answered before and after it within this was not out between
-	minOutage                = 3 * Second
-	assumedOutage            = 5 * Second // ours: how long an outage lasted, beside the time since we saw it
-	unsafeFailureMargin      = 0.15       // ours: unsafe messages keep away where it is this much above chance
-	firstTrialIntervalMicros = 400_000    // ours: first pause between single trials
-	maxTrialInterval         = 2 * Second // ours: and the longest
-	distantPast              = Micros(math.MinInt64 / 2)
+	// Weight of the newest call in the share of calls that fail by chance.
+	chanceFailureAlpha = 0.02
+	// Lower bound of that share where the probability of a run of failures is computed.
+	minChanceFailureRate = 0.01
+	// Upper bound of that share there.
+	maxChanceFailureRate = 0.3
+	// A run of failures that is less probable than this by chance is an outage.
+	outageProbability = 0.0002
+	// A run of failures that is less probable than this keeps unsafe messages away.
+	doubtProbability = 0.05
+	// An endpoint that answered within this time is not ejected for a few refused connections.
+	freshAnswerAge = Second
+	// A failure rate above this is an outage.
+	outageFailureRate = 0.45
+	// An endpoint that answered before and after a failure within this time was not down in between.
+	minOutage = 3 * Second
+	// How long an outage is assumed to have lasted before this sender noticed it.
+	assumedOutage = 5 * Second
+	// Unsafe messages avoid an endpoint whose failure rate is this far above the share that fails by
+	// chance.
+	unsafeFailureMargin = 0.15
+	// Time from the ejection to the first trial call.
+	firstTrialIntervalMicros = 400_000
+	// Longest time between two trial calls.
+	maxTrialInterval = 2 * Second
+	// distantPast stands for a time before anything happened. It leaves room to subtract from it.
+	distantPast = Micros(math.MinInt64 / 2)
 )
 
-// ejectionAllowsAt holds messages back from an endpoint that seems out: single trials only, unsafe messages
-// last.
+// ejectionAllowsAt returns when ejection allows m to be sent to e; 0 if now. It first ejects endpoints
+// with a suspected outage. An ejected endpoint gets one call at a time, at its trial times, and trial
+// calls take at most two thirds of the slots. Unsafe messages wait until their aim has passed before they
+// go to an ejected or doubtful endpoint.
 func (s *Sender) ejectionAllowsAt(m *message, e *endpoint) Micros {
 	for _, x := range e.destination.endpoints {
 		if s.outageSuspected(x) {
@@ -51,7 +68,8 @@
 	if m.class.Effect == Unsafe && doubt && s.now < m.receivedAt+m.class.Aim {
 		return m.receivedAt + m.class.Aim
 	}
-	// Outages mostly take all endpoints: after one has failed, the others are tried singly until they answer.
+	// Outages mostly affect all endpoints of a destination: once one has failed, the others get one call at
+	// a time until they answer.
 	if e.inflight > 0 && e.destination.hadOutage && e.limiter == e.destination.limiter {
 		for _, x := range e.destination.endpoints {
 			if x.ejected && x.lastFailureAt > e.lastSuccessAt {
@@ -62,27 +80,29 @@
 	return 0
 }
 
-// recordSuccess notes an answer to what was sent at a time. One sent before the last failure tells nothing of
-// a return: else a call that was under way when a destination shut would end the watch before it opens.
-func (s *Sender) recordSuccess(e *endpoint, sent Micros) {
-	if e.ejected && sent < e.lastFailureAt {
+// recordSuccess records an answer to a call that was sent at sentAt. While the endpoint is ejected, an
+// answer to a call that was sent before the last failure does not count: a call that was in flight when
+// the destination became unavailable would otherwise end the ejection while the outage still lasts.
+func (s *Sender) recordSuccess(e *endpoint, sentAt Micros) {
+	if e.ejected && sentAt < e.lastFailureAt {
 		return
 	}
 	if e.ejected {
 		s.log("endpoint %d of %d answers again", e.id, e.destination.id)
 		e.ejected, e.returnedAt = false, s.now
 		e.trialInterval = 0
-		// what failed in the outage is dealt with: one break more is no new one
+		// The failures of the outage are accounted for: one more chance failure is not a new outage.
 		e.failureRate = min(e.failureRate, s.chanceFailureRate)
 	}
-	// An answer while a sibling is out shows that e is well; one after its return may be of the return itself.
-	// Many senders try the sibling too rarely to know which it is, until it fails again (proves).
-	e.lastAnsweredSentAt = max(e.lastAnsweredSentAt, sent)
+	// An answer while another endpoint is down shows that e is healthy. An answer after the other's return
+	// may mean that e has returned too. Many senders try the other endpoint too rarely to tell these apart,
+	// until it fails again (see markSiblingsHealthy).
+	e.lastAnsweredSentAt = max(e.lastAnsweredSentAt, sentAt)
 	if !s.manySenders && (!e.destination.hadOutage ||
 		!slices.ContainsFunc(e.destination.endpoints, func(x *endpoint) bool {
 			return x.recovering && !x.ejected && x.limiter == e.limiter && x.lastFailureAt > e.lastHealthyAt
 		})) {
-		e.lastHealthyAt = max(e.lastHealthyAt, sent)
+		e.lastHealthyAt = max(e.lastHealthyAt, sentAt)
 	}
 	e.lastSuccessAt = s.now
 	s.chanceFailureRate -= chanceFailureAlpha * s.chanceFailureRate
@@ -90,59 +110,63 @@
 	e.failureRate *= 1 - failureRateAlpha
 }
 
-// recordFailure notes a sign of an outage at e: an error, a reset, no connection or no answer. Networks break
-// single calls everywhere, which tells nothing of one endpoint: only a run too long for chance is an outage.
-func (s *Sender) recordFailure(e *endpoint, how string) {
-	if s.banned[e.id] { // operators restart it meanwhile: their doing, no outage
+// recordFailure records a failure at e: an error, a broken or refused connection, or no answer. Networks
+// break single calls everywhere, which says nothing about one endpoint. Only a run of failures that is
+// too long to be chance is an outage. The reason is logged if e is ejected.
+func (s *Sender) recordFailure(e *endpoint, reason string) {
+	if s.banned[e.id] { // operators may be restarting it, which is no outage
 		return
 	}
 	e.consecutiveFailures++
-	stale := how == "refuses connections" && e.lastSuccessAt < s.now-freshAnswerAge &&
+	refusing := reason == "refuses connections" && e.lastSuccessAt < s.now-freshAnswerAge &&
 		s.failureRunProbability(e) < doubtProbability
 	e.lastFailureAt = s.now
-	if e.consecutiveFailures == 1 && s.manySenders && !e.recovering { // maybe the first of an outage
+	if e.consecutiveFailures == 1 && s.manySenders && !e.recovering { // may be the first failure of an outage
 		e.destination.arrivals, e.destination.lastOutageAt = 1, s.now
 	}
 	e.failureRate += failureRateAlpha * (1 - e.failureRate)
 	if e.ejected || e.failureRate > outageFailureRate || s.failureRunProbability(e) < outageProbability ||
-		stale || how == "silent" {
-		s.markDown(e, how)
+		refusing || reason == "silent" {
+		s.markDown(e, reason)
 		s.markSiblingsHealthy(e)
-	} else if e.consecutiveFailures <= 2 { // the rest of a run tells of e alone
+	} else if e.consecutiveFailures <= 2 { // further failures of a run say something about e only
 		s.chanceFailureRate += chanceFailureAlpha * (1 - s.chanceFailureRate)
 	}
 }
 
-// failureRunProbability is how likely the present run of failures at e is where nothing is out; 1 if there is
+// failureRunProbability returns how probable the present run of failures at e is by chance; 1 if there is
 // none.
 func (s *Sender) failureRunProbability(e *endpoint) float64 {
 	return s.runProbability(int(e.consecutiveFailures))
 }
 
+// runProbability returns how probable a run of so many failures is by chance.
 func (s *Sender) runProbability(run int) float64 {
 	return math.Pow(min(max(s.chanceFailureRate, minChanceFailureRate), maxChanceFailureRate), float64(run))
 }
 
-// outageSuspected says whether the last that the thin traffic of many senders told of e is a failure, and no
-// answer of its lane showed soon after that it was chance. One that comes later may be of a return: each
-// alone would go on as before, and all of them together topple what comes back.
+// outageSuspected says whether the last thing known of e is a failure that no answer in its limiter has
+// shown to be chance soon afterwards. It matters among many senders, each of which sends too little for
+// long runs. A later answer may mean that the destination has returned: if each sender went on as before,
+// all together would overload it again.
 func (s *Sender) outageSuspected(e *endpoint) bool {
 	if !s.manySenders || e.ejected || e.consecutiveFailures == 0 {
 		return false
 	}
-	run, ok := 0, distantPast
+	run, lastSuccess := 0, distantPast
 	for _, x := range e.destination.endpoints {
 		if x.limiter == e.limiter {
-			run, ok = run+int(x.consecutiveFailures), max(ok, x.lastSuccessAt)
+			run, lastSuccess = run+int(x.consecutiveFailures), max(lastSuccess, x.lastSuccessAt)
 		}
 	}
-	return ok <= e.lastFailureAt && s.now > ok+minOutage && (ok == distantPast ||
+	return lastSuccess <= e.lastFailureAt && s.now > lastSuccess+minOutage && (lastSuccess == distantPast ||
 		s.now > e.lastFailureAt+freshAnswerAge) &&
 		s.runProbability(run) < doubtProbability
 }
 
-// markSiblingsHealthy notes that the siblings of e that answered since its outage began are well: it is still
-// out.
+// markSiblingsHealthy marks the siblings of e, which has failed again, that have answered since its
+// outage began: as e is still down, their answers are no sign of a return, and they are healthy. Only
+// many senders need this, see recordSuccess.
 func (s *Sender) markSiblingsHealthy(e *endpoint) {
 	for _, x := range e.destination.endpoints {
 		if s.manySenders && e.recovering && x.limiter == e.limiter && !x.ejected &&
@@ -152,13 +176,13 @@
 	}
 }
 
-// markDown takes an endpoint for out: from now on single trials, and after its return a budget.
-func (s *Sender) markDown(e *endpoint, how string) {
-	s.eject(e, how)
+// markDown treats an endpoint as down: it gets trial calls only, and a budget after its return.
+func (s *Sender) markDown(e *endpoint, reason string) {
+	s.eject(e, reason)
 	s.markRecovering(e)
 }
 
-// markRecovering counts e as cold: budgeted until some time after its return.
+// markRecovering makes e recovering: its calls are budgeted until WarmAfter has passed since its return.
 func (s *Sender) markRecovering(e *endpoint) {
 	if !e.recovering {
 		e.recovering, e.destination.hadOutage = true, true
@@ -166,16 +190,19 @@
 	}
 }
 
-func (s *Sender) eject(e *endpoint, how string) {
+// eject marks e as ejected and logs why. The first trial call follows after firstTrialIntervalMicros.
+func (s *Sender) eject(e *endpoint, reason string) {
 	if !e.ejected {
 		s.log("endpoint %d of %d out: %s; %d failures in a row, share %.2f, stray %.3f, answered %.2f s ago",
-			e.id, e.destination.id, how, e.consecutiveFailures, e.failureRate, s.chanceFailureRate,
+			e.id, e.destination.id, reason, e.consecutiveFailures, e.failureRate, s.chanceFailureRate,
 			seconds(min(s.now-e.lastSuccessAt, 99*Second)))
 		e.ejected, e.trialInterval, e.nextTrialAt, e.destination.hadOutage =
 			true, firstTrialIntervalMicros, s.now+firstTrialIntervalMicros, true
 	}
 }
 
+// backOffTrials sets the next trial call, after twice the last interval up to maxTrialInterval, with 20 %
+// of random variation so that senders do not try at the same time.
 func (s *Sender) backOffTrials(e *endpoint) {
 	e.trialInterval = min(2*max(e.trialInterval, firstTrialIntervalMicros), maxTrialInterval)
 	e.nextTrialAt = s.now + e.trialInterval*Micros(80+s.rng.IntN(40))/100
--- a/logic/ending.go
+++ b/logic/ending.go
@@ -1,18 +1,25 @@
 package logic
 
-// Ends of messages that cannot be delivered, restarts and shutdown.
+// Ends of messages that are not delivered, restarts and shutdown. A message ends when its time is too
+// short for another attempt, when it may not be sent again, or when there is no room for it. It is
+// refused if no attempt may have run, so that the client can safely send it again, and fails otherwise.
+// After a restart the attempts made before count. Before a stop, messages that would expire until the
+// next start are sent at once or refused.
 
 import (
 	"slices"
 )
 
 const (
-	lastChanceShare  = 0.15     // ours: part of a message's time in which one found untried goes past the pace
-	restartGapMicros = 1500_000 // ours: from a stop until the next start can send
+	// A message that a restart found untried is sent regardless of the pace in this last share of its
+	// class's deadline, see atLastChance.
+	lastChanceShare = 0.15
+	// Time from a stop until the next process can send.
+	restartGapMicros = 1500_000
 )
 
-// endMessage is the one place where a message ends by our word: refused if no attempt may have run, else
-// failed.
+// endMessage ends a message that was not delivered: it is refused if no attempt may have run, otherwise
+// it fails. Apart from retryRejected, and acceptMessage for an unknown class, no other place does so.
 func (s *Sender) endMessage(m *message) {
 	if m.ended {
 		return
@@ -28,7 +35,8 @@
 	s.forgetMessage(m)
 }
 
-// retryAdvice tells a client when to come again: as late as it heeds, since what turned it away lasts.
+// retryAdvice returns when a client should retry: as late as clients observe it, since the reason for a
+// refusal lasts.
 func (s *Sender) retryAdvice() Micros {
 	if !s.settings.AdviseRetry {
 		return 0
@@ -36,29 +44,29 @@
 	return s.settings.MaxRetryAfter
 }
 
-// resumeMessage takes up a message where a restart cut it off: its attempts count, and one without an outcome
-// may have run. What may not be sent again ends at once.
-func (s *Sender) resumeMessage(m *message, p PriorAttempts) {
-	if p.Recovered && !p.MayHaveRun {
-		left := m.deadline - s.now
-		last := min(left, Micros(lastChanceShare*float64(m.class.Deadline)))
+// resumeMessage restores what happened to a message before a restart: its attempts count, and one without
+// an outcome may have run. A message that may not be sent again ends at once.
+func (s *Sender) resumeMessage(m *message, prior PriorAttempts) {
+	if prior.Recovered && !prior.MayHaveRun {
+		timeLeft := m.deadline - s.now
+		lastChance := min(timeLeft, Micros(lastChanceShare*float64(m.class.Deadline)))
 		m.untried = true
-		m.lastChanceAt = m.deadline - last/3 - Micros(s.rng.Float64()*float64(last)*2/3)
+		m.lastChanceAt = m.deadline - lastChance/3 - Micros(s.rng.Float64()*float64(lastChance)*2/3)
 	}
-	if p.Tries == 0 {
+	if prior.Tries == 0 {
 		return
 	}
-	m.tries = p.Tries
-	if m.mayHaveRun = p.MayHaveRun; m.mayHaveRun {
-		m.firstMayHaveRunAt, m.mayHaveRunZone = s.now-p.SinceFirstSend, int32(p.Zone)
+	m.tries = prior.Tries
+	if m.mayHaveRun = prior.MayHaveRun; m.mayHaveRun {
+		m.firstMayHaveRunAt, m.mayHaveRunZone = s.now-prior.SinceFirstSend, int32(prior.Zone)
 	}
 	s.endIfUnretryable(m)
 }
 
-// prepareStop prepares for a stop: what was not tried and would be over before the next start goes now or
-// never.
-func (s *Sender) prepareStop(left Micros) {
-	s.stopAt = s.now + left
+// prepareStop prepares for a stop in timeLeft: untried messages that would expire before the next start
+// are sent regardless of the pace, or not at all.
+func (s *Sender) prepareStop(timeLeft Micros) {
+	s.stopAt = s.now + timeLeft
 	for _, m := range s.openMessages {
 		if m.tries == 0 && m.deadline <= s.stopAt+restartGapMicros {
 			m.untried, m.lastChanceAt = true, s.now
@@ -66,7 +74,8 @@
 	}
 }
 
-// refuseBeforeStop turns new messages away that cannot go at once and would be over before the next start.
+// refuseBeforeStop refuses messages that arrived in this Step, cannot be sent at once, and would expire
+// before the next start.
 func (s *Sender) refuseBeforeStop() {
 	if s.stopAt == 0 {
 		return
@@ -78,36 +87,37 @@
 	}
 }
 
-// endIfUnretryable ends a message that no further attempt can help.
+// endIfUnretryable ends a message that may not be sent again.
 func (s *Sender) endIfUnretryable(m *message) {
-	c := m.class
+	class := m.class
 	switch {
 	case m.attempt != nil || m.ended:
-	case m.mayHaveRun && c.Effect == Unsafe,
+	case m.mayHaveRun && class.Effect == Unsafe,
 		s.settings.MaxTries > 0 && m.tries >= s.settings.MaxTries,
-		m.mayHaveRun && c.Effect == Keyed && s.now > m.firstMayHaveRunAt+c.Window-s.settings.Tick:
+		m.mayHaveRun && class.Effect == Keyed && s.now > m.firstMayHaveRunAt+class.Window-s.settings.Tick:
 		s.endMessage(m)
 	}
 }
 
-// endExpiring ends messages whose time is nearly up: unsent ones at a usual call's time before the deadline.
+// endExpiring ends messages whose time is nearly up. A message with an attempt in flight ends shortly
+// before its deadline, another one when its time left is less than the usual latency of a call.
 func (s *Sender) endExpiring() {
-	last := 2 * max(s.settings.Tick, 1000)
+	margin := 2 * max(s.settings.Tick, 1000)
 	for _, m := range slices.Clone(s.openMessages) {
 		if m.streaming {
 			continue
 		}
-		by := m.deadline - last
+		endAt := m.deadline - margin
 		if m.attempt == nil {
-			by = min(by, m.deadline-s.usualLatency(m))
-			if m.mayHaveRun && m.class.Effect == Keyed { // the window is for the send, whenever its answer comes
-				by = min(by, m.firstMayHaveRunAt+m.class.Window-last)
+			endAt = min(endAt, m.deadline-s.usualLatency(m))
+			if m.mayHaveRun && m.class.Effect == Keyed { // only the send has to be within the window
+				endAt = min(endAt, m.firstMayHaveRunAt+m.class.Window-margin)
 			}
 		}
-		if s.now >= by {
+		if s.now >= endAt {
 			s.endMessage(m)
 			continue
 		}
-		s.wakeBy(by)
+		s.wakeBy(endAt)
 	}
 }
--- a/logic/endpoint_list.go
+++ b/logic/endpoint_list.go
@@ -1,32 +1,37 @@
 package logic
 
-// Entries of the endpoint list, and endpoints that an operator has taken out.
+// Entries of the endpoint list, and bans by operators. An entry adds or changes an endpoint or removes
+// it; a removed endpoint keeps its state for a while. A new endpoint of a destination that is down or
+// recovering is treated like the others there. A ban ends only by an unban, after which the endpoint
+// counts as recovering.
 
-func (s *Sender) applyEntry(row Entry) {
-	e := s.endpoints[row.Endpoint]
-	if row.State == Removed {
+// applyEntry applies one entry of the endpoint list.
+func (s *Sender) applyEntry(entry Entry) {
+	e := s.endpoints[entry.Endpoint]
+	if entry.State == Removed {
 		if e != nil {
 			s.removeEndpoint(e)
 		}
 		return
 	}
-	d := s.destinationFor(row.Destination)
-	d.kind = int32(row.Kind)
+	d := s.destinationFor(entry.Destination)
+	d.kind = int32(entry.Kind)
 	if e == nil || e.destination != d {
 		if e != nil {
 			s.removeEndpoint(e)
 		}
-		e = newEndpoint(row.Endpoint, d)
+		e = newEndpoint(entry.Endpoint, d)
 		e.state = Removed
 		if s.kindOf(d).SeparateRoutes {
 			e.limiter = s.newLimiter()
 		}
 		s.endpoints[e.id] = e
-		// A machine that joins a destination in trouble is as cold as the others: what topples it is shared.
+		// An endpoint that joins a destination during an outage is recovering like the others: they share
+		// the load that would overload it.
 		for i := len(d.endpoints) - 1; i >= 0 && d.hadOutage && !e.recovering; i-- {
-			if x := d.endpoints[i]; x.recovering && e.limiter == x.limiter {
+			if sibling := d.endpoints[i]; sibling.recovering && e.limiter == sibling.limiter {
 				e.recovering, e.ejected, e.returnedAt, e.nextTrialAt, e.lastFailureAt =
-					true, x.ejected, x.returnedAt, x.nextTrialAt, x.lastFailureAt
+					true, sibling.ejected, sibling.returnedAt, sibling.nextTrialAt, sibling.lastFailureAt
 			}
 		}
 	}
@@ -36,14 +41,14 @@
 			d.nextEndpoint = s.rng.IntN(len(d.endpoints))
 		}
 	}
-	e.zone, e.state = int32(row.Zone), row.State
-	if s.settings.Weights != WeightsOff && row.Nominal > 0 && row.Nominal <= maxRateRPS &&
+	e.zone, e.state = int32(entry.Zone), entry.State
+	if s.settings.Weights != WeightsOff && entry.Nominal > 0 && entry.Nominal <= maxRateRPS &&
 		!e.limiter.limitReported {
-		e.limiter.limit = max(row.Nominal, minRateRPS)
+		e.limiter.limit = max(entry.Nominal, minRateRPS)
 	}
 }
 
-// banEndpoint takes an endpoint out at an operator's word. Only unban lifts it: no list, no return of the
+// banEndpoint takes an endpoint out. Only unbanEndpoint ends that, no list update and no answer of the
 // endpoint.
 func (s *Sender) banEndpoint(id EndpointID) {
 	if s.banned[id] {
@@ -54,8 +59,9 @@
 	s.emit(Release{id})
 }
 
-// unbanEndpoint puts it back. Its process may have been restarted meanwhile: it starts over, as cold as after
-// an outage. One that seems out still gets its single trial first, at once.
+// unbanEndpoint ends a ban. The endpoint's process may have been restarted meanwhile, so its record of
+// failures starts over and it is recovering, as after an outage. If it is ejected, it first gets a trial
+// call, at once.
 func (s *Sender) unbanEndpoint(id EndpointID) {
 	if !s.banned[id] {
 		return
--- a/logic/gate.go
+++ b/logic/gate.go
@@ -1,56 +1,62 @@
 package logic
 
-// What must hold before a message is sent. Every send passes the gate.
+// The conditions under which a message may be sent to an endpoint now. Every send passes maySend. It
+// checks the state of the endpoint and the list, retry-after waits, the time that is left, order keys,
+// and whether the message's effect allows a repeat. After that come the limits on load: slots, ejection,
+// the budget of the slow start and the pace. A condition that will change by time alone says when to look
+// again; others say never and are looked at again with the next event.
 
 import (
 	"math"
 )
 
 const (
+	// never is a point in time that does not come: wait for an event instead.
 	never = Micros(math.MaxInt64)
 )
 
-// maySend says whether m may go to e now, and if not, when to look again. Every send of a message passes it.
+// maySend says whether m may be sent to e now and, if not, when to look again.
 func (s *Sender) maySend(m *message, e *endpoint) (bool, Micros) {
 	switch {
-	case e.state != Ready || m.ended || m.attempt != nil: // drain; one attempt at a time
+	case e.state != Ready || m.ended || m.attempt != nil: // one attempt at a time
 		return false, never
-	case s.banned[e.id]: // an operator has taken it out
+	case s.banned[e.id]:
 		return false, never
-	case s.unconfirmedUntil(m) > s.now: // e may drain by now
+	case s.unconfirmedUntil(m) > s.now: // e may be draining by now
 		return false, s.unconfirmedUntil(m)
-	case s.now < max(e.limiter.waitUntil, m.notBefore): // told wait
+	case s.now < max(e.limiter.waitUntil, m.notBefore): // retry-after or delay
 		return false, max(e.limiter.waitUntil, m.notBefore)
 	case s.settings.MaxTries > 0 && m.tries >= s.settings.MaxTries:
 		return false, never
-	case m.deadline-s.now <= max(s.usualLatency(m), 2*s.settings.Tick): // median gate
+	case m.deadline-s.now <= max(s.usualLatency(m), 2*s.settings.Tick): // too little time for a usual call
 		return false, never
 	}
-	if s.stopAt != 0 && s.now+s.expectedDuration(m, e) > s.stopAt { // it stays in the journal for the next start
+	if s.stopAt != 0 && s.now+s.expectedDuration(m, e) > s.stopAt { // stays in the journal for the next start
 		return false, never
 	}
-	if l := m.keyQueue; l != nil { // order of its key
-		if l.messages[0] != m {
+	if queue := m.keyQueue; queue != nil { // in order, and not while the key rests
+		if queue.messages[0] != m {
 			return false, never
 		}
-		if s.now < l.quietUntil && l.quietOwner != m {
-			return false, l.quietUntil
+		if s.now < queue.quietUntil && queue.quietOwner != m {
+			return false, queue.quietUntil
 		}
 	}
-	if m.mayHaveRun { // effect
-		c := m.class
+	if m.mayHaveRun { // a repeat must be allowed
+		class := m.class
 		switch {
-		case c.Effect == Unsafe:
+		case class.Effect == Unsafe:
 			return false, never
-		case c.Effect == Keyed && (c.ByZone && e.zone != m.mayHaveRunZone ||
-			s.now > m.firstMayHaveRunAt+c.Window-s.settings.Tick):
+		case class.Effect == Keyed && (class.ByZone && e.zone != m.mayHaveRunZone ||
+			s.now > m.firstMayHaveRunAt+class.Window-s.settings.Tick):
 			return false, never
 		}
 	}
 	if s.joinsOpenCall(e) {
 		return true, 0
 	}
-	if s.slotsInUse >= s.settings.Slots || int(e.limiter.inflight) >= (s.settings.Slots+1)/2 { // slots
+	// One limiter gets at most half of the slots.
+	if s.slotsInUse >= s.settings.Slots || int(e.limiter.inflight) >= (s.settings.Slots+1)/2 {
 		return false, never
 	}
 	if at := s.ejectionAllowsAt(m, e); at > s.now {
@@ -68,23 +74,26 @@
 	return true, 0
 }
 
-// atLastChance says whether m goes out past the pace: it was taken on before a restart, no call of it was
-// made and it has little of its time left. The pace only shares a limit out; who took a message on owes it a
-// try.
+// atLastChance says whether m is sent regardless of the pace: it was accepted before a restart, or would
+// expire in one, has not been sent yet and has little time left. The pace only shares out a limit, while
+// an accepted message is owed an attempt.
 func (s *Sender) atLastChance(m *message) bool { return m.untried && s.now >= s.lastChanceAt(m) }
 
-// lastChanceAt is when that is so. Each message has a time of its own, for many senders may come back at
-// once; what would be over before an old list serves again goes while it still serves.
+// lastChanceAt returns from when on atLastChance holds. Messages have different, random times, as many
+// senders may restart together. A message that would expire before a stale list may be used again is sent
+// while the list is still good.
 func (s *Sender) lastChanceAt(m *message) Micros {
-	if old := s.listConfirmedAt + s.settings.MaxListAge; s.settings.MaxListAge > 0 && !s.watchOpen &&
-		m.deadline <= old+maxStaleListWait+Second {
-		return min(m.lastChanceAt, old-Second)
+	if staleAt := s.listConfirmedAt + s.settings.MaxListAge; s.settings.MaxListAge > 0 && !s.watchOpen &&
+		m.deadline <= staleAt+maxStaleListWait+Second {
+		return min(m.lastChanceAt, staleAt-Second)
 	}
-	return min(m.lastChanceAt, m.deadline-2*s.usualLatency(m)) // before the median gate shuts
+	return min(m.lastChanceAt, m.deadline-2*s.usualLatency(m)) // while maySend still allows it
 }
 
-// expectedDuration is the time that an attempt needs before this sender stops. One that is cut off by the
-// stop is resent if its class allows it, but an unsafe one is lost.
+// expectedDuration returns how long an attempt is expected to take, to decide whether it is started
+// before the sender stops. An attempt that the stop cuts off is resent after the restart if the message's
+// effect allows it; an unsafe one is lost, so it needs the longer time after which a call counts as
+// stuck.
 func (s *Sender) expectedDuration(m *message, e *endpoint) Micros {
 	if h := &e.destination.histogram; m.class.Effect != Unsafe && h.total >= minSamples {
 		return h.p95
--- a/logic/handover.go
+++ b/logic/handover.go
@@ -1,50 +1,59 @@
 package logic
 
+// The state of a Sender in a form that can be encoded, for a process that takes over from this one. Save
+// and Resume handle it as a whole; table_rows.go has a form for many endpoints. The names of the fields
+// are part of the encoding, so comments say what the fields hold. Numbers that follow from the rest, such
+// as the calls in flight, are not saved but computed anew.
+
 import (
 	"maps"
 	"math"
 	"slices"
 )
 
-// Saved is the whole state of a Sender, for another one that goes on in its place. Times are those of the Sender:
-// who goes on keeps its clock.
+// Saved is the whole state of a Sender, for another one that continues in its place. Points in time are
+// those of the Sender's clock, which the one that continues keeps using.
 type Saved struct {
 	Now        Micros
-	Seq, Logs  int
-	Stray      float64
-	MeanWorth  float64
-	Turned     map[int]float64
-	Room       map[int]int
-	AskAt      Micros
-	AskGap     Micros
-	ListAt     Micros
-	Watched    bool
-	Silent     bool   `json:",omitempty"` // as Sender.silent
-	UnusableAt Micros `json:",omitempty"` // as Sender.unusableAt
-	Old        bool   // the list is as saved before the start
+	Seq, Logs  int             // lastSeq and logLines
+	Stray      float64         // chanceFailureRate
+	MeanWorth  float64         // meanWorth
+	Turned     map[int]float64 // rejectedShare
+	Room       map[int]int     // newConnsAccepted
+	AskAt      Micros          // listRequestAt
+	AskGap     Micros          // listRetryDelay
+	ListAt     Micros          // listConfirmedAt
+	Watched    bool            // watchOpen
+	Silent     bool            `json:",omitempty"` // agentUnresponsive
+	UnusableAt Micros          `json:",omitempty"` // unusableAnswerAt
+	Old        bool            // listSaved
 	Banned     []EndpointID
-	ByClass    []savedHistogram
-	Usage      []savedTenantUsage
-	Dests      []savedDestination `json:",omitempty"` // without them the state's tables come in rows
-	Endpoints  []savedEndpoint    `json:",omitempty"`
-	Sizes      []int              `json:",omitempty"` // then: how many there are of both
+	ByClass    []savedHistogram   // classHistograms
+	Usage      []savedTenantUsage // tenantUsage
+	Dests      []savedDestination `json:",omitempty"` // nil if the tables are transferred as rows
+	Endpoints  []savedEndpoint    `json:",omitempty"` // nil in that case too
+	Sizes      []int              `json:",omitempty"` // in that case: the numbers of destinations and endpoints
 	Messages   []savedMessage
-	Held       []string // messages not over, in order of arrival
+	Held       []string // openMessages, by ID
 	Attempts   []savedAttempt
-	Keys       map[string]savedKeyQueue
+	Keys       map[string]savedKeyQueue // orderKeys
 }
 
+// savedHistogram is a histogram. W holds the weights of all bins.
 type savedHistogram struct {
 	W           [binCount + 1]float64
 	Total, Cuts float64
 	At          Micros
 }
 
+// savedTenantUsage is a tenantUsage.
 type savedTenantUsage struct {
 	N  float64
 	At Micros
 }
 
+// savedLimiter is a limiter. Told is limitReported, Filled refilledAt, Fulls consecutiveRejections and
+// FirstFull firstRejectedAt.
 type savedLimiter struct {
 	Limit, Left, Pace, Tokens, Peak, Phase float64
 	Told                                   bool
@@ -53,6 +62,7 @@
 	Sent                                   []Micros
 }
 
+// savedDestination is a destination. Next is nextEndpoint, DownAt lastOutageAt and Came arrivals.
 type savedDestination struct {
 	ID           int64
 	Kind, Next   int
@@ -63,6 +73,9 @@
 	Came         int
 }
 
+// savedEndpoint is an endpoint. Bad is failureRate, Slow smoothedLatency, Fails consecutiveFailures,
+// Fulls consecutiveRejections, Suspect ejected, Cold recovering, Well lastHealthyAt, BackAt returnedAt,
+// Warm idleConnUntil and TrialGap trialInterval.
 type savedEndpoint struct {
 	ID                                                     EndpointID
 	Zone                                                   int
@@ -77,6 +90,9 @@
 	TrialGap                                               Micros
 }
 
+// savedMessage is a message. Share is worthShare, First receivedAt, FirstMay firstMayHaveRunAt, MayZone
+// mayHaveRunZone, Rest notBefore, Over ended, Flows streaming, Half listWaitUntil and Chance
+// lastChanceAt.
 type savedMessage struct {
 	ID                              string
 	Class, Seq, Tries, Cuts         int
@@ -90,22 +106,24 @@
 	HasLast                         bool
 }
 
+// savedAttempt is an attempt in flight. Late is countedLate.
 type savedAttempt struct {
 	ID                          string
-	N, Call                     int // attempts with one number travel in one call
+	N, Call                     int // attempts with the same Call travel in one call
 	Endpoint                    EndpointID
 	At                          Micros
 	Cancelled, Cut, Stuck, Late bool
 }
 
+// savedKeyQueue is a keyQueue. By is the ID of quietOwner; empty if there is none.
 type savedKeyQueue struct {
 	IDs   []string
 	Quiet Micros
 	By    string
 }
 
-// ApplyWithoutSending takes what happened like Step, but sends nothing: what it returns are ends and notes only. It is for a
-// Sender that is about to be saved.
+// ApplyWithoutSending applies events like Step but starts nothing: the actions that it returns only end
+// messages, cancel attempts, release connections or log. It is for a Sender that is about to be saved.
 func (s *Sender) ApplyWithoutSending(now Micros, events []Event) []Action {
 	s.now = max(s.now, now)
 	s.step++
@@ -116,6 +134,7 @@
 	return s.actions
 }
 
+// save returns the histogram in its saved form.
 func (h *histogram) save() savedHistogram {
 	x := savedHistogram{Total: h.total, Cuts: h.cutOffs, At: h.updatedAt}
 	for i := range x.W {
@@ -124,6 +143,7 @@
 	return x
 }
 
+// histogram restores the histogram. The restart time and the percentiles are computed anew.
 func (x savedHistogram) histogram() histogram {
 	h := histogram{total: x.Total, cutOffs: x.Cuts, updatedAt: x.At}
 	low, end := 0, len(x.W)
@@ -142,22 +162,33 @@
 	return h
 }
 
+// save returns the limiter in its saved form.
 func (l *limiter) save() savedLimiter {
-	return savedLimiter{Limit: l.limit, Left: l.limitLeft, Pace: l.pace, Tokens: l.tokens, Peak: l.peakRate, Phase: l.phase, Told: l.limitReported,
-		Halved: l.halvedAt, Filled: l.refilledAt, Until: l.waitUntil, FirstFull: l.firstRejectedAt, Fulls: int(l.consecutiveRejections), Sent: l.sentTimes}
+	return savedLimiter{Limit: l.limit, Left: l.limitLeft, Pace: l.pace, Tokens: l.tokens, Peak: l.peakRate,
+		Phase: l.phase, Told: l.limitReported,
+		Halved: l.halvedAt, Filled: l.refilledAt, Until: l.waitUntil, FirstFull: l.firstRejectedAt,
+		Fulls: int(l.consecutiveRejections), Sent: l.sentTimes}
 }
 
+// limiter restores the limiter.
 func (x savedLimiter) limiter() *limiter {
-	return &limiter{limit: x.Limit, limitLeft: x.Left, pace: x.Pace, tokens: x.Tokens, peakRate: x.Peak, phase: x.Phase, limitReported: x.Told,
-		halvedAt: x.Halved, refilledAt: x.Filled, waitUntil: x.Until, firstRejectedAt: x.FirstFull, consecutiveRejections: uint16(min(max(x.Fulls, 0), math.MaxUint16)), sentTimes: x.Sent}
+	return &limiter{limit: x.Limit, limitLeft: x.Left, pace: x.Pace, tokens: x.Tokens, peakRate: x.Peak,
+		phase: x.Phase, limitReported: x.Told,
+		halvedAt: x.Halved, refilledAt: x.Filled, waitUntil: x.Until, firstRejectedAt: x.FirstFull,
+		consecutiveRejections: uint16(min(max(x.Fulls, 0), math.MaxUint16)), sentTimes: x.Sent}
 }
 
-// Save returns the state. The Sender must not be used afterwards, unless nobody goes on in its place.
+// Save returns the state. The Sender must not be used afterwards, unless no other one continues in its
+// place.
 func (s *Sender) Save() Saved { return s.save(true) }
 
+// save returns the state, with the tables of destinations and endpoints or without them.
 func (s *Sender) save(tables bool) Saved {
-	out := Saved{Now: s.now, Seq: s.lastSeq, Logs: s.logLines, Stray: s.chanceFailureRate, MeanWorth: s.meanWorth, Turned: s.rejectedShare, Room: s.newConnsAccepted,
-		AskAt: s.listRequestAt, AskGap: s.listRetryDelay, ListAt: s.listConfirmedAt, Watched: s.watchOpen, Old: s.listSaved, Silent: s.agentUnresponsive, UnusableAt: s.unusableAnswerAt, Banned: slices.Sorted(maps.Keys(s.banned)), Keys: map[string]savedKeyQueue{}}
+	out := Saved{Now: s.now, Seq: s.lastSeq, Logs: s.logLines, Stray: s.chanceFailureRate,
+		MeanWorth: s.meanWorth, Turned: s.rejectedShare, Room: s.newConnsAccepted,
+		AskAt: s.listRequestAt, AskGap: s.listRetryDelay, ListAt: s.listConfirmedAt, Watched: s.watchOpen,
+		Old: s.listSaved, Silent: s.agentUnresponsive, UnusableAt: s.unusableAnswerAt,
+		Banned: slices.Sorted(maps.Keys(s.banned)), Keys: map[string]savedKeyQueue{}}
 	for i := range s.classHistograms {
 		out.ByClass = append(out.ByClass, s.classHistograms[i].save())
 	}
@@ -167,21 +198,24 @@
 	if tables {
 		s.saveTables(&out)
 	}
-	for key, l := range s.orderKeys {
-		x := savedKeyQueue{Quiet: l.quietUntil}
-		for _, m := range l.messages {
+	for key, queue := range s.orderKeys {
+		x := savedKeyQueue{Quiet: queue.quietUntil}
+		for _, m := range queue.messages {
 			x.IDs = append(x.IDs, m.id)
 		}
-		if l.quietOwner != nil {
-			x.By = l.quietOwner.id
+		if queue.quietOwner != nil {
+			x.By = queue.quietOwner.id
 		}
 		out.Keys[key] = x
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.messages)) {
 		m := s.messages[id]
-		x := savedMessage{ID: m.id, Class: m.classIndex, Seq: m.seq, Tries: m.tries, Cuts: m.cutOffs, Share: m.worthShare, Dest: m.destination.id,
-			First: m.receivedAt, Deadline: m.deadline, FirstMay: m.firstMayHaveRunAt, Rest: m.notBefore, MayRun: m.mayHaveRun, Over: m.ended,
-			Flows: m.streaming, MayZone: int(m.mayHaveRunZone), Untried: m.untried, Half: m.listWaitUntil, Chance: m.lastChanceAt}
+		x := savedMessage{ID: m.id, Class: m.classIndex, Seq: m.seq, Tries: m.tries, Cuts: m.cutOffs,
+			Share: m.worthShare, Dest: m.destination.id,
+			First: m.receivedAt, Deadline: m.deadline, FirstMay: m.firstMayHaveRunAt, Rest: m.notBefore,
+			MayRun: m.mayHaveRun, Over: m.ended,
+			Flows: m.streaming, MayZone: int(m.mayHaveRunZone), Untried: m.untried, Half: m.listWaitUntil,
+			Chance: m.lastChanceAt}
 		if m.lastEndpoint != nil {
 			x.Last, x.HasLast = m.lastEndpoint.id, true
 		}
@@ -197,16 +231,18 @@
 			n = len(calls)
 			calls[a.call] = n
 		}
-		out.Attempts = append(out.Attempts, savedAttempt{ID: a.message.id, N: a.number, Call: n, Endpoint: a.endpoint.id, At: a.sentAt,
+		out.Attempts = append(out.Attempts, savedAttempt{ID: a.message.id, N: a.number, Call: n,
+			Endpoint: a.endpoint.id, At: a.sentAt,
 			Cancelled: a.cancelled, Cut: a.cutOff, Stuck: a.stuck, Late: a.countedLate})
 	}
 	return out
 }
 
-// saveTables adds destinations and endpoints.
+// saveTables adds the destinations and endpoints to the saved state.
 func (s *Sender) saveTables(out *Saved) {
 	for _, d := range s.destinationOrder {
-		x := savedDestination{ID: d.id, Kind: int(d.kind), Next: d.nextEndpoint, Lane: d.limiter.save(), Hist: d.histogram.save(), Used: d.lastUsedAt,
+		x := savedDestination{ID: d.id, Kind: int(d.kind), Next: d.nextEndpoint, Lane: d.limiter.save(),
+			Hist: d.histogram.save(), Used: d.lastUsedAt,
 			DownAt: d.lastOutageAt, Came: int(d.arrivals)}
 		for _, e := range d.endpoints {
 			x.Listed = append(x.Listed, e.id)
@@ -215,10 +251,13 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
 		e := s.endpoints[id]
-		x := savedEndpoint{ID: e.id, Zone: int(e.zone), State: e.state, Dest: e.destination.id, Sent: e.sentTimes, Bad: e.failureRate,
-			Slow: e.smoothedLatency, Fails: int(e.consecutiveFailures), Fulls: int(e.consecutiveRejections), Suspect: e.ejected, Cold: e.recovering, LastOK: e.lastSuccessAt,
-			LastBad: e.lastFailureAt, Well: e.lastHealthyAt, BackAt: e.returnedAt, TrialAt: e.nextTrialAt, LastSent: e.lastSentAt,
-			Warm: e.idleConnUntil, TrialGap: e.trialInterval}
+		x := savedEndpoint{ID: e.id, Zone: int(e.zone), State: e.state, Dest: e.destination.id,
+			Sent: e.sentTimes, Bad: e.failureRate,
+			Slow: e.smoothedLatency, Fails: int(e.consecutiveFailures), Fulls: int(e.consecutiveRejections),
+			Suspect: e.ejected, Cold: e.recovering, LastOK: e.lastSuccessAt,
+			LastBad: e.lastFailureAt, Well: e.lastHealthyAt, BackAt: e.returnedAt, TrialAt: e.nextTrialAt,
+			LastSent: e.lastSentAt,
+			Warm:     e.idleConnUntil, TrialGap: e.trialInterval}
 		if e.limiter != e.destination.limiter {
 			l := e.limiter.save()
 			x.Lane = &l
@@ -227,52 +266,60 @@
 	}
 }
 
-// Resume makes a Sender that goes on where the saved one stopped. What does not fit the settings, as those of
-// another version may not, is left out.
-func Resume(set Settings, seed uint64, x Saved) (*Sender, error) {
-	s, err := New(set, seed)
+// Resume makes a Sender that continues where the saved one stopped. What does not fit the settings, as
+// the state of another version may not, is left out.
+func Resume(settings Settings, seed uint64, saved Saved) (*Sender, error) {
+	s, err := New(settings, seed)
 	if err != nil {
 		return nil, err
 	}
-	s.resumeTables(x)
-	s.resumeWithoutTables(x)
+	s.resumeTables(saved)
+	s.resumeWithoutTables(saved)
 	return s, nil
 }
 
-// resumeWithoutTables takes up all but destinations and endpoints.
-func (s *Sender) resumeWithoutTables(x Saved) {
-	s.now, s.lastSeq, s.logLines, s.chanceFailureRate, s.meanWorth = x.Now, x.Seq, x.Logs, x.Stray, x.MeanWorth
-	s.listRequestAt, s.listRetryDelay, s.listConfirmedAt, s.watchOpen, s.listSaved = x.AskAt, x.AskGap, x.ListAt, x.Watched, x.Old
-	s.agentUnresponsive, s.unusableAnswerAt = x.Silent, x.UnusableAt
-	if s.settings.ListPushed { // the watch of the process before is over, and ours is yet to begin
+// resumeWithoutTables restores everything but destinations and endpoints.
+func (s *Sender) resumeWithoutTables(saved Saved) {
+	s.now, s.lastSeq, s.logLines, s.chanceFailureRate, s.meanWorth = saved.Now, saved.Seq, saved.Logs,
+		saved.Stray, saved.MeanWorth
+	s.listRequestAt, s.listRetryDelay, s.listConfirmedAt, s.watchOpen, s.listSaved = saved.AskAt, saved.AskGap,
+		saved.ListAt, saved.Watched, saved.Old
+	s.agentUnresponsive, s.unusableAnswerAt = saved.Silent, saved.UnusableAt
+	if s.settings.ListPushed { // the watch of the previous process is over, and this one has none yet
 		s.endWatch()
 	}
-	maps.Copy(s.rejectedShare, x.Turned)
-	maps.Copy(s.newConnsAccepted, x.Room)
-	for _, id := range x.Banned {
+	maps.Copy(s.rejectedShare, saved.Turned)
+	maps.Copy(s.newConnsAccepted, saved.Room)
+	for _, id := range saved.Banned {
 		s.banned[id] = true
 	}
-	for i := range min(len(x.ByClass), len(s.classHistograms)) {
-		s.classHistograms[i] = x.ByClass[i].histogram()
+	for i := range min(len(saved.ByClass), len(s.classHistograms)) {
+		s.classHistograms[i] = saved.ByClass[i].histogram()
 	}
-	for i := range min(len(x.Usage), len(s.tenantUsage)) {
-		s.tenantUsage[i] = tenantUsage{x.Usage[i].N, x.Usage[i].At}
+	for i := range min(len(saved.Usage), len(s.tenantUsage)) {
+		s.tenantUsage[i] = tenantUsage{saved.Usage[i].N, saved.Usage[i].At}
 	}
-	s.resumeMessages(x)
+	s.resumeMessages(saved)
 }
 
-func (s *Sender) resumeTables(x Saved) {
-	s.now = x.Now
-	for _, sd := range x.Dests {
+// resumeTables restores destinations and endpoints.
+func (s *Sender) resumeTables(saved Saved) {
+	s.now = saved.Now
+	for _, sd := range saved.Dests {
 		d := s.destinationFor(sd.ID)
-		d.kind, d.nextEndpoint, d.limiter, d.histogram = int32(sd.Kind), sd.Next, sd.Lane.limiter(), sd.Hist.histogram()
+		d.kind, d.nextEndpoint, d.limiter, d.histogram = int32(sd.Kind), sd.Next, sd.Lane.limiter(),
+			sd.Hist.histogram()
 		d.lastUsedAt, d.lastOutageAt, d.arrivals = sd.Used, sd.DownAt, int32(sd.Came)
 	}
-	for _, se := range x.Endpoints {
+	for _, se := range saved.Endpoints {
 		d := s.destinationFor(se.Dest)
-		e := &endpoint{id: se.ID, zone: int32(se.Zone), state: se.State, destination: d, limiter: d.limiter, sentTimes: se.Sent, failureRate: se.Bad,
-			smoothedLatency: se.Slow, consecutiveFailures: int32(se.Fails), consecutiveRejections: int32(se.Fulls), ejected: se.Suspect, recovering: se.Cold, lastSuccessAt: se.LastOK,
-			lastFailureAt: se.LastBad, lastHealthyAt: se.Well, returnedAt: se.BackAt, nextTrialAt: se.TrialAt, lastSentAt: se.LastSent,
+		e := &endpoint{id: se.ID, zone: int32(se.Zone), state: se.State, destination: d, limiter: d.limiter,
+			sentTimes: se.Sent, failureRate: se.Bad,
+			smoothedLatency: se.Slow, consecutiveFailures: int32(se.Fails),
+			consecutiveRejections: int32(se.Fulls), ejected: se.Suspect, recovering: se.Cold,
+			lastSuccessAt: se.LastOK,
+			lastFailureAt: se.LastBad, lastHealthyAt: se.Well, returnedAt: se.BackAt,
+			nextTrialAt: se.TrialAt, lastSentAt: se.LastSent,
 			idleConnUntil: se.Warm, trialInterval: se.TrialGap}
 		if se.Lane != nil {
 			e.limiter = se.Lane.limiter()
@@ -280,7 +327,7 @@
 		d.hadOutage = d.hadOutage || e.recovering || e.ejected
 		s.endpoints[e.id] = e
 	}
-	for _, sd := range x.Dests {
+	for _, sd := range saved.Dests {
 		d := s.destinationFor(sd.ID)
 		for _, id := range sd.Listed {
 			if e := s.endpoints[id]; e != nil {
@@ -290,14 +337,19 @@
 	}
 }
 
-func (s *Sender) resumeMessages(x Saved) {
-	for _, sm := range x.Messages {
+// resumeMessages restores messages, order keys and attempts in flight. Attempts of unknown messages or
+// endpoints are left out.
+func (s *Sender) resumeMessages(saved Saved) {
+	for _, sm := range saved.Messages {
 		if sm.Class < 0 || sm.Class >= len(s.settings.Classes) {
 			continue
 		}
-		m := &message{id: sm.ID, class: &s.settings.Classes[sm.Class], classIndex: sm.Class, worthShare: sm.Share, destination: s.destinationFor(sm.Dest),
-			seq: sm.Seq, receivedAt: sm.First, deadline: sm.Deadline, tries: sm.Tries, cutOffs: sm.Cuts, mayHaveRun: sm.MayRun,
-			firstMayHaveRunAt: sm.FirstMay, mayHaveRunZone: int32(sm.MayZone), notBefore: sm.Rest, ended: sm.Over, streaming: sm.Flows, untried: sm.Untried,
+		m := &message{id: sm.ID, class: &s.settings.Classes[sm.Class], classIndex: sm.Class,
+			worthShare: sm.Share, destination: s.destinationFor(sm.Dest),
+			seq: sm.Seq, receivedAt: sm.First, deadline: sm.Deadline, tries: sm.Tries, cutOffs: sm.Cuts,
+			mayHaveRun:        sm.MayRun,
+			firstMayHaveRunAt: sm.FirstMay, mayHaveRunZone: int32(sm.MayZone), notBefore: sm.Rest,
+			ended: sm.Over, streaming: sm.Flows, untried: sm.Untried,
 			listWaitUntil: sm.Half, lastChanceAt: sm.Chance}
 		if sm.HasLast {
 			m.lastEndpoint = s.endpoints[sm.Last]
@@ -307,22 +359,22 @@
 			s.messages[m.id] = m
 		}
 	}
-	for _, id := range x.Held {
+	for _, id := range saved.Held {
 		if m := s.messages[id]; m != nil {
 			s.openMessages = append(s.openMessages, m)
 		}
 	}
-	for key, l := range x.Keys {
-		line := &keyQueue{quietUntil: l.Quiet, quietOwner: s.messages[l.By]}
-		for _, id := range l.IDs {
+	for key, savedQueue := range saved.Keys {
+		queue := &keyQueue{quietUntil: savedQueue.Quiet, quietOwner: s.messages[savedQueue.By]}
+		for _, id := range savedQueue.IDs {
 			if m := s.messages[id]; m != nil {
-				line.messages, m.keyQueue = append(line.messages, m), line
+				queue.messages, m.keyQueue = append(queue.messages, m), queue
 			}
 		}
-		s.orderKeys[key] = line
+		s.orderKeys[key] = queue
 	}
 	calls := map[int]*call{}
-	for _, sa := range x.Attempts {
+	for _, sa := range saved.Attempts {
 		m, e := s.messages[sa.ID], s.endpoints[sa.Endpoint]
 		if m == nil || e == nil {
 			continue
@@ -337,7 +389,8 @@
 		}
 		c.attempts++
 		c.pending++
-		a := &attempt{message: m, number: sa.N, endpoint: e, sentAt: sa.At, call: c, cancelled: sa.Cancelled, cutOff: sa.Cut, stuck: sa.Stuck,
+		a := &attempt{message: m, number: sa.N, endpoint: e, sentAt: sa.At, call: c,
+			cancelled: sa.Cancelled, cutOff: sa.Cut, stuck: sa.Stuck,
 			countedLate: sa.Late}
 		m.attempt = a
 		s.attempts = append(s.attempts, a)
--- a/logic/membership.go
+++ b/logic/membership.go
@@ -1,47 +1,61 @@
 package logic
 
-// Decisions on the list of endpoints: when it is asked for, and how long it may be acted on. A list is a
-// lease: it says what was so when discovery wrote it, and what changed since counts as known to this sender
-// some time later, whether or not it arrived. Once that time has come nothing is sent until the list is
-// confirmed.
+// When the endpoint list is requested and how long it may be used. The list is a lease: it says what was
+// so when discovery wrote it. A later change, such as an endpoint that begins to drain, counts as known
+// to this sender some time after it was made, whether or not the update has arrived. So once that time
+// has passed, nothing is sent until the list is confirmed by an update or a watch. The wait is limited,
+// since discovery may be down for longer; then the list is used as it is.
 
 const (
-	// nothing is sent on an old list for so long: discovery may be down for longer
+	// Nothing is sent on a stale list for this long. Then it is used again, as discovery may be down for
+	// longer.
 	maxStaleListWait = 4 * Second
-	// nor on a saved one: the first answer comes at once if discovery has time for it
+	// The same for a list saved before the start. The first answer arrives within this time unless
+	// discovery is overloaded.
 	maxSavedListWaitMicros = 300_000
-	firstListRetryMicros   = 50_000 // first pause before the list is asked for again; what changes ...
-	// ... meanwhile counts as known, so the longest is under a drain's grace
-	maxListRetry             = Second / 2
-	listRetryPerSenderMicros = 25_000 // the first pause for each of many senders, whose calls add up
-	// their longest: what changes counts as known after 6 s, and a call may hang 2
+	// Delay before the first retry of a list request.
+	firstListRetryMicros = 50_000
+	// Longest delay. Changes made meanwhile count as known, so it is shorter than the drain grace.
+	maxListRetry = Second / 2
+	// Many senders: the first delay is this times the number of senders, since their requests add up.
+	listRetryPerSenderMicros = 25_000
+	// Many senders: longest delay. Changes count as known after 6 s, and a request may hang for 2 s.
 	maxListRetryManySenders = 4 * Second
-	// and after a watch that failed, which may have been silent since it began
-	listRetryAfterWatch  = Second
-	listAnswerTimeMicros = 100_000 // for the answer
-
-	pushedRetriesPerGrace = 20          // the pause before an agent is asked again is the grace over this
-	maxPushedRetryMicros  = 50_000      // and no longer than this
-	minPushedRetryMicros  = 5_000       // nor shorter
-	maxProcessingDelay    = Second / 4  // from reading the clock to the written byte, or an answer to its word
-	maxUnusableListWait   = 10 * Second // no sends for longer while an agent gives no answer that can be used
-	maxUnresponsiveWait   = Second      // an agent that says nothing for so long has lost discovery
+	// Many senders: longest delay after a watch that failed, which may have been unresponsive since it
+	// began.
+	listRetryAfterWatch = Second
+	// Time that an answer of discovery takes.
+	listAnswerTimeMicros = 100_000
+
+	// ListPushed: the delay before the agent is asked again is the drain grace divided by this ...
+	pushedRetriesPerGrace = 20
+	// ... but no longer than this ...
+	maxPushedRetryMicros = 50_000
+	// ... and no shorter than this.
+	minPushedRetryMicros = 5_000
+	// Longest time from reading the clock to writing a call to the connection, or from the arrival of a
+	// list answer to its ListUpdate.
+	maxProcessingDelay = Second / 4
+	// ListPushed: nothing is sent for this long while the agent gives no answer that can be used.
+	maxUnusableListWait = 10 * Second
+	// An agent that gives no answer at all for this long has lost its connection to discovery.
+	maxUnresponsiveWait = Second
 )
 
-// applyListUpdate takes news of the list, or of a call for it.
+// applyListUpdate applies an update of the list, or the result of a request for it.
 func (s *Sender) applyListUpdate(ev ListUpdate) {
 	switch ev.Form {
 	case ListAnswerBegun, ListAnswerUnusable:
 		s.noteUnusableAnswer()
 		return
 	}
-	broke := ev.Form == ListRequestFailed && s.watchOpen
-	if ev.Form != ListRequestFailed || broke {
+	watchFailed := ev.Form == ListRequestFailed && s.watchOpen
+	if ev.Form != ListRequestFailed || watchFailed {
 		s.listConfirmedAt = s.now
 	}
 	if ev.Form == ListRequestFailed && s.settings.ListPushed {
-		s.listSaved = s.listSaved && !broke
-		s.agentUnresponsive = ev.Unresponsive && !broke
+		s.listSaved = s.listSaved && !watchFailed
+		s.agentUnresponsive = ev.Unresponsive && !watchFailed
 	} else {
 		s.listSaved = ev.Form == ListCached && ev.Stale
 		s.agentUnresponsive = false
@@ -50,10 +64,10 @@
 		return
 	}
 	if ev.Form == ListRequestFailed {
-		if s.settings.ListPushed && !ev.Unresponsive { // the agent is there, and may have news
+		if s.settings.ListPushed && !ev.Unresponsive { // the agent is up and may have an update
 			s.noteUnusableAnswer()
 		}
-		s.scheduleListRetry(broke)
+		s.scheduleListRetry(watchFailed)
 		return
 	}
 	s.unusableAnswerAt = 0
@@ -63,57 +77,59 @@
 	if ev.Form != ListDelta {
 		s.removeUnlisted(ev.Entries)
 	}
-	for rows := s.removeLeading(ev.Entries); len(rows) > 0; rows = s.removeLeading(rows[1:]) {
-		s.applyEntry(rows[0])
+	for entries := s.removeLeading(ev.Entries); len(entries) > 0; entries = s.removeLeading(entries[1:]) {
+		s.applyEntry(entries[0])
 	}
 }
 
-// endWatch notes that changes no longer come as they happen: the list is confirmed up to now.
+// endWatch records that the watch is closed and changes no longer arrive as they happen. The list is
+// confirmed up to this time.
 func (s *Sender) endWatch() {
 	if s.watchOpen {
 		s.watchOpen, s.listConfirmedAt = false, s.now
 	}
 }
 
-// noteUnusableAnswer notes an answer that could not be used, or not yet. What it holds counts as known, so
-// silence before it proves nothing.
+// noteUnusableAnswer records an answer that cannot be used, or not yet. What it holds counts as known, so
+// that the time without answers before it does not show that there was nothing to know.
 func (s *Sender) noteUnusableAnswer() {
 	s.endWatch()
 	if s.unusableAnswerAt != 0 {
 		return
 	}
-	if s.agentUnresponsive { // discovery was away until now
+	if s.agentUnresponsive { // the agent had lost discovery until this answer
 		s.listConfirmedAt = s.now
 	}
 	s.agentUnresponsive, s.unusableAnswerAt = false, max(s.now, 1)
 }
 
-// scheduleListRetry sets when the list is asked for again after a call that failed, later each time.
-func (s *Sender) scheduleListRetry(broke bool) {
-	first, most := s.listRetryRange()
-	gap := max(s.listRetryDelay, first)
+// scheduleListRetry sets when the list is requested again after a request or watch that failed
+// (watchFailed), with a delay that doubles each time.
+func (s *Sender) scheduleListRetry(watchFailed bool) {
+	firstDelay, maxDelay := s.listRetryRange()
+	delay := max(s.listRetryDelay, firstDelay)
 	switch {
-	case s.settings.ListPushed: // it costs nothing, and what the agent has counts as known
-		gap = first
-	case s.manySenders: // each at a time of its own, in time for what counts as known meanwhile
-		longest := most
-		if broke {
+	case s.settings.ListPushed: // a request costs nothing, and what the agent has counts as known
+		delay = firstDelay
+	case s.manySenders: // at a random time, but before changes made meanwhile count as known
+		longest := maxDelay
+		if watchFailed {
 			longest = listRetryAfterWatch
 		}
-		gap = min(gap*3/2, max(longest+s.settings.DrainGrace-listAnswerTimeMicros, firstListRetryMicros))
-		gap -= Micros(s.rng.Int64N(int64(gap/2 + 1)))
+		delay = min(delay*3/2, max(longest+s.settings.DrainGrace-listAnswerTimeMicros, firstListRetryMicros))
+		delay -= Micros(s.rng.Int64N(int64(delay/2 + 1)))
 	}
-	s.listRequestAt = s.now + gap
-	s.listRetryDelay = min(2*max(s.listRetryDelay, first), most)
+	s.listRequestAt = s.now + delay
+	s.listRetryDelay = min(2*max(s.listRetryDelay, firstDelay), maxDelay)
 }
 
-// listRetryRange is the first and the longest pause before the list is asked for again. Among many senders
-// calls that are turned away and come again soon keep discovery overbooked.
-func (s *Sender) listRetryRange() (first, most Micros) {
+// listRetryRange returns the first and the longest delay before the list is requested again. If many
+// senders retried soon, their rejected requests would keep discovery overloaded.
+func (s *Sender) listRetryRange() (firstDelay, maxDelay Micros) {
 	switch {
 	case s.settings.ListPushed:
-		gap := min(max(s.settings.DrainGrace/pushedRetriesPerGrace, minPushedRetryMicros), maxPushedRetryMicros)
-		return gap, gap
+		delay := min(max(s.settings.DrainGrace/pushedRetriesPerGrace, minPushedRetryMicros), maxPushedRetryMicros)
+		return delay, delay
 	case !s.manySenders:
 		return firstListRetryMicros, maxListRetry
 	}
@@ -121,15 +137,15 @@
 		maxListRetryManySenders
 }
 
-// discoveryMoved ends the pause before discovery is asked again: what it has to tell counts as known soon
-// after a move.
+// discoveryMoved ends the delay before the next list request: what discovery says at its new address
+// counts as known soon after the move.
 func (s *Sender) discoveryMoved() {
 	if s.listRequestAt != never {
 		s.listRequestAt, s.listRetryDelay = s.now, firstListRetryMicros
 	}
 }
 
-// requestList asks for the list where it comes only on request.
+// requestList requests the list if a request is due.
 func (s *Sender) requestList() {
 	if s.listRequestAt == never {
 		return
@@ -142,77 +158,82 @@
 	s.listRequestAt = never
 }
 
-// unconfirmedUntil is the time until which m is not sent since the list is not confirmed: endpoints may drain
-// by now. It ends with the next news, or after a while: discovery may be down for long.
+// unconfirmedUntil returns until when m is not sent because the list is not confirmed and its endpoints
+// may be draining; a past time if it may be sent. The next update ends the wait. It is limited, since
+// discovery may be down for long.
 func (s *Sender) unconfirmedUntil(m *message) Micros {
 	if s.settings.ListPushed {
 		return s.pushedListWaitUntil(m)
 	}
-	if till := s.unusableListWaitUntil(); till > s.now {
-		return till
+	if waitUntil := s.unusableListWaitUntil(); waitUntil > s.now {
+		return waitUntil
 	}
 	return s.staleListWaitUntil(m)
 }
 
-// ListUnconfirmed says whether sends wait at a time for news of the list, since endpoints may drain by then.
+// ListUnconfirmed says whether sends wait at now for an update of the list, because its endpoints may be
+// draining.
 func (s *Sender) ListUnconfirmed(now Micros) bool {
 	s.now = max(s.now, now)
 	return s.unconfirmedUntil(&message{}) > s.now
 }
 
-// pushedListWaitUntil is that time where an agent pushes the list. What the agent has counts as known from
-// the first moment of a process and with no watch open, so the list is good for the drain's grace from the
-// moment the last watch ended. An agent that says nothing has lost discovery and learns nothing: then the
-// list stands. A start knows nothing of what the agent had: it waits for its first answer, but where the
-// agent is silent no message waits beyond half of its time, once the agent has had time for an answer.
+// pushedListWaitUntil is unconfirmedUntil where an agent pushes the list. What the agent has received
+// counts as known from the start of the process on, also while no watch is open, so the list is good for
+// the drain grace after the last watch ended. An agent that gives no answer has lost discovery and learns
+// nothing either, so the list stays in use. At a start it is not known what the agent had, and sends wait
+// for its first answer. If the agent does not answer, a message waits for half of its time at most, but
+// long enough for the agent to answer.
 func (s *Sender) pushedListWaitUntil(m *message) Micros {
 	if s.watchOpen {
 		return distantPast
 	}
-	from := s.listConfirmedAt
+	validUntil := s.listConfirmedAt
 	if !s.listSaved {
-		from += max(s.settings.DrainGrace-maxProcessingDelay, 0)
+		validUntil += max(s.settings.DrainGrace-maxProcessingDelay, 0)
 	}
 	switch {
-	case s.now < from:
+	case s.now < validUntil:
 		return distantPast
 	case s.unusableAnswerAt != 0:
-		return max(from, s.unusableAnswerAt) + maxUnusableListWait
-	case s.listSaved: // the agent may have told the process before what is not in its list
-		return min(from+maxUnusableListWait, max(from+maxSavedListWaitMicros, m.listWaitUntil))
+		return max(validUntil, s.unusableAnswerAt) + maxUnusableListWait
+	case s.listSaved: // the agent may have given the previous process changes that the list lacks
+		return min(validUntil+maxUnusableListWait, max(validUntil+maxSavedListWaitMicros, m.listWaitUntil))
 	case s.agentUnresponsive:
 		return distantPast
 	}
-	return from + maxUnresponsiveWait
+	return validUntil + maxUnresponsiveWait
 }
 
-// unusableListWaitUntil is that time where the list comes on request and its last answer could not be used:
-// what it held counts as known from its writing.
+// unusableListWaitUntil is the wait where the list is requested from discovery and the last answer could
+// not be used: what the answer held counts as known from when it was written.
 func (s *Sender) unusableListWaitUntil() Micros {
 	if s.unusableAnswerAt == 0 {
 		return distantPast
 	}
-	from := s.unusableAnswerAt + max(s.settings.DrainGrace-maxProcessingDelay, 0)
-	if s.now < from {
+	validUntil := s.unusableAnswerAt + max(s.settings.DrainGrace-maxProcessingDelay, 0)
+	if s.now < validUntil {
 		return distantPast
 	}
-	return from + maxStaleListWait
+	return validUntil + maxStaleListWait
 }
 
-// staleListWaitUntil is that time where the list comes on request: what changes counts as known some time
-// later, even if nothing came, and so does what changed before a start on a saved list. What a restart found
-// with little time left waits for the first answer for half of that only.
+// staleListWaitUntil is the wait where the list is requested from discovery. A change counts as known
+// some time after it was made, even if no update arrived, and so does a change made before a start on a
+// saved list.
 func (s *Sender) staleListWaitUntil(m *message) Micros {
-	if saved := s.savedListWaitUntil(m); s.listSaved && s.settings.MaxListAge > 0 && s.now < saved {
-		return saved
+	if savedUntil := s.savedListWaitUntil(m); s.listSaved && s.settings.MaxListAge > 0 && s.now < savedUntil {
+		return savedUntil
 	}
-	old := s.listConfirmedAt + s.settings.MaxListAge
-	if s.settings.MaxListAge <= 0 || s.watchOpen || s.now < old || s.now >= old+maxStaleListWait {
+	staleAt := s.listConfirmedAt + s.settings.MaxListAge
+	if s.settings.MaxListAge <= 0 || s.watchOpen || s.now < staleAt || s.now >= staleAt+maxStaleListWait {
 		return distantPast
 	}
-	return old + maxStaleListWait
+	return staleAt + maxStaleListWait
 }
 
+// savedListWaitUntil returns until when sends wait for the first answer after a start on a saved list. A
+// message that a restart found untried waits for half of its time left at most.
 func (s *Sender) savedListWaitUntil(m *message) Micros {
 	if m.untried {
 		return min(s.listConfirmedAt+maxSavedListWaitMicros, m.listWaitUntil)
--- a/logic/outcome.go
+++ b/logic/outcome.go
@@ -1,74 +1,85 @@
 package logic
 
-// What the outcome of an attempt says of its message, endpoint and destination.
+// What the result of an attempt says about its message, its endpoint and its destination. A success adds
+// its latency to the histograms and raises the pace. A rejection lowers the pace or starts a retry-after
+// wait. Errors, broken or refused connections and missing answers count as failures (ejection.go). The
+// message is retried, after a delay where that helps, unless it has ended or may not be sent again.
 
 const (
-	latencyAlpha         = 0.3        // ours: weight of the newest call in an endpoint's smoothed latency
-	connReuseInterval    = 5 * Second // ours: an endpoint called less often than this shares its connections
-	rejectedShareAlpha   = 0.05       // ours: weight of the newest call in a kind's share of calls turned away
-	initialRejectedShare = 0.15       // ours: the same among many senders, before any call tells
-	// ours: price of a connection with each message above which none is given back
-	highConnPrice    = 0.04
-	errorDelayMicros = 100_000 // ours: pause of a message after an error, doubled with each try
+	// Weight of the newest call in an endpoint's smoothed latency.
+	latencyAlpha = 0.3
+	// Many senders: connections to an endpoint that is called less often than this are released, for other
+	// senders.
+	connReuseInterval = 5 * Second
+	// Weight of the newest call in a kind's share of rejected calls.
+	rejectedShareAlpha = 0.05
+	// That share among many senders before the first result.
+	initialRejectedShare = 0.15
+	// With a higher Settings.ConnPrice, connections are not released for being used rarely.
+	highConnPrice = 0.04
+	// Delay of a message after an error, doubled with each attempt up to five times.
+	errorDelayMicros = 100_000
 )
 
-func (s *Sender) handleResult(r AttemptResult) {
-	m := s.messages[r.ID]
-	if m == nil || m.attempt == nil || m.attempt.number != r.Attempt {
+// handleResult applies the result of an attempt. Results of unknown or earlier attempts are ignored.
+func (s *Sender) handleResult(result AttemptResult) {
+	m := s.messages[result.ID]
+	if m == nil || m.attempt == nil || m.attempt.number != result.Attempt {
 		return
 	}
 	a, e := m.attempt, m.attempt.endpoint
 	lastOfCall := s.finishAttempt(a)
 	kind := int(e.destination.kind)
-	x, known := s.rejectedShare[kind]
+	rejected, known := s.rejectedShare[kind]
 	if s.manySenders && !known {
-		x = initialRejectedShare
+		rejected = initialRejectedShare
 	}
-	x *= 1 - rejectedShareAlpha
-	if r.Outcome == Rejected && !s.rejectedUnexamined(r) {
-		x += rejectedShareAlpha
+	rejected *= 1 - rejectedShareAlpha
+	if result.Outcome == Rejected && !s.rejectedUnexamined(result) {
+		rejected += rejectedShareAlpha
 	}
-	s.rejectedShare[kind] = x
-	s.recordConnRoom(a, r)
-	s.applyLoadReport(e, r.Load)
-	if r.Outcome != Rejected && r.Outcome != ConnRefused && r.Outcome != NotSent {
+	s.rejectedShare[kind] = rejected
+	s.recordConnRoom(a, result)
+	s.applyLoadReport(e, result.Load)
+	if result.Outcome != Rejected && result.Outcome != ConnRefused && result.Outcome != NotSent {
 		m.mayHaveRun = true
 	}
-	if r.Outcome != ConnRefused && r.Outcome != NotSent {
+	if result.Outcome != ConnRefused && result.Outcome != NotSent {
 		m.untried = false
 	}
-	if m.keyQueue != nil && (r.Outcome == TimedOut || r.Outcome == ConnBroken || r.Outcome == Cancelled) {
+	if m.keyQueue != nil && (result.Outcome == TimedOut || result.Outcome == ConnBroken ||
+		result.Outcome == Cancelled) {
 		m.keyQueue.quietUntil, m.keyQueue.quietOwner = max(m.keyQueue.quietUntil, s.now+s.settings.KeyQuiet), m
 	}
-	switch r.Outcome {
+	switch result.Outcome {
 	case Completed:
 		for _, h := range []*histogram{&e.destination.histogram, &s.classHistograms[m.classIndex]} {
 			if a.countedLate {
 				h.cutOffs--
 			}
-			h.add(s.now, r.Duration, false)
+			h.add(s.now, result.Duration, false)
 		}
-		e.smoothedLatency += latencyAlpha * (float64(r.Duration) - e.smoothedLatency)
+		e.smoothedLatency += latencyAlpha * (float64(result.Duration) - e.smoothedLatency)
 		if e.smoothedLatency == 0 {
-			e.smoothedLatency = float64(r.Duration)
+			e.smoothedLatency = float64(result.Duration)
 		}
 		s.recordSuccess(e, a.sentAt)
 		s.raisePace(e.limiter)
 	case Rejected:
-		if r.RetryAfter > 0 {
-			e.limiter.waitUntil = max(e.limiter.waitUntil, s.now+r.RetryAfter)
+		if result.RetryAfter > 0 {
+			e.limiter.waitUntil = max(e.limiter.waitUntil, s.now+result.RetryAfter)
 		}
-		if lastOfCall { // a batch is one call: one refusal
-			if !s.rejectedUnexamined(r) { // says nothing of what the limit leaves
+		if lastOfCall { // a batch is one call, so this is one rejection
+			if !s.rejectedUnexamined(result) { // otherwise it says nothing about the limit
 				s.reducePace(e.limiter)
 			}
-			s.recordRejection(e, r.RetryAfter)
+			s.recordRejection(e, result.RetryAfter)
 		}
 		switch {
-		case r.MessageEnded || m.ended || !s.manySenders:
-		case s.rejectedUnexamined(r):
-			rest := Micros(errorDelayMicros) << min(m.tries, 5)
-			m.notBefore = s.now + rest/2 + Micros(s.rng.Int64N(int64(rest)))
+		case result.MessageEnded || m.ended || !s.manySenders:
+		case s.rejectedUnexamined(result):
+			delay := Micros(errorDelayMicros) << min(m.tries, 5)
+			m.notBefore = s.now + delay/2 + Micros(s.rng.Int64N(int64(delay)))
 		case s.minPace(e.limiter) < minPaceRPS:
 			s.retryRejected(m, e)
 		}
@@ -83,27 +94,28 @@
 		}
 	case ConnRefused:
 		s.recordFailure(e, "refuses connections")
-		if !e.ejected { // may be chance: the next try is soon, but not all of them within an instant
+		if !e.ejected { // may be chance: retry soon, but not all at once
 			m.notBefore = s.now + errorDelayMicros<<min(m.tries-1, 5)
 		}
 	case Errored, ConnBroken:
 		s.recordFailure(e, "errors")
 		m.notBefore = s.now + errorDelayMicros<<min(m.tries, 5)
 	}
-	// Connections of many senders, idle ones counted, fill an endpoint: those that we use rarely are given back,
-	// unless new ones are dear and the kind has room.
+	// Connections of many senders, also idle ones, can use up those of an endpoint. Those that are rarely
+	// used are released, unless new ones are expensive and the kind has room for more.
 	e.idleConnUntil = s.now + s.settings.ConnIdle
-	n := len(e.sentTimes)
-	give := s.settings.ConnPrice < highConnPrice && (n < 2 || s.now-e.sentTimes[n-2] > connReuseInterval)
-	if s.manySenders && e.inflight == 0 && (give || !s.keepsIdleConn(e)) {
+	calls := len(e.sentTimes)
+	release := s.settings.ConnPrice < highConnPrice &&
+		(calls < 2 || s.now-e.sentTimes[calls-2] > connReuseInterval)
+	if s.manySenders && e.inflight == 0 && (release || !s.keepsIdleConn(e)) {
 		e.idleConnUntil = s.now
 		s.emit(Release{e.id})
 	}
-	if r.MessageEnded || m.ended {
+	if result.MessageEnded || m.ended {
 		s.forgetMessage(m)
 		return
 	}
-	if m.mayHaveRun && m.class.Effect == Keyed { // else a short window would pass unused
+	if m.mayHaveRun && m.class.Effect == Keyed { // otherwise a short window would pass without a retry
 		m.notBefore = min(m.notBefore, s.now+(m.firstMayHaveRunAt+m.class.Window-s.now)/2)
 	}
 	s.endIfUnretryable(m)
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -1,6 +1,9 @@
 package logic
 
-// Which message goes first, and what a nearly full queue gives up.
+// Which message is sent first, and which messages are given up when the queue is nearly full. The order
+// is by the worth that a message would lose by waiting, for each second that its call takes, so that
+// short calls of valuable and urgent messages go first. When the messages held come near to
+// Settings.MaxOpen, those that the pace cannot send in time end first, and then the least urgent ones.
 
 import (
 	"cmp"
@@ -9,39 +12,45 @@
 )
 
 const (
-	minSamples    = 4.0        // ours: samples before a histogram is believed
-	quotaHalfLife = 5 * Second // ours: half-life of a tenant's rate
-	lossHorizon   = Second     // ours: loss of worth within this sets who goes first
-	// ours: share of the hold above which messages that the pace cannot send in time end
+	// Weight of samples from which on a histogram is used.
+	minSamples = 4.0
+	// Half-life of the weight of messages in a tenant's rate.
+	quotaHalfLife = 5 * Second
+	// Urgency is the worth that is lost by waiting for this long.
+	lossHorizon = Second
+	// Share of MaxOpen above which messages end that the pace cannot send in time.
 	queueTightShare = 0.7
-	queueFullShare  = 0.9 // ours: share of the hold above which the least worthy are refused
+	// Share of MaxOpen above which the least urgent message is given up.
+	queueFullShare = 0.9
 )
 
-// urgency orders the queue: the worth that waiting a little longer would lose, for each second of a slot.
+// urgency returns the priority of a message: the worth that it would lose by waiting for lossHorizon,
+// with 2 % of its worth added, per time that a call takes. It is lower the more calls its destination has
+// in flight.
 func (s *Sender) urgency(m *message) float64 {
-	u := max(s.usualLatency(m), 10_000)
-	soon := s.worthAt(m, s.now+u)
-	loss := soon - s.worthAt(m, s.now+u+lossHorizon)
-	return m.worthShare * (loss + 0.02*soon) / (float64(u) * float64(1+m.destination.limiter.inflight))
+	latency := max(s.usualLatency(m), 10_000)
+	worth := s.worthAt(m, s.now+latency)
+	loss := worth - s.worthAt(m, s.now+latency+lossHorizon)
+	return m.worthShare * (loss + 0.02*worth) / (float64(latency) * float64(1+m.destination.limiter.inflight))
 }
 
-// tenantWorthShare is the part of its worth that a new message keeps: less while its tenant sends past its
-// quota here, taking an even part of the quota for this sender.
+// tenantWorthShare counts a new message of a tenant and returns the share of its worth that it keeps:
+// all, or OverShareWorth while the tenant sends more here than this sender's even share of its quota.
 func (s *Sender) tenantWorthShare(tenant int) float64 {
 	if tenant < 0 || tenant >= len(s.settings.Tenants) || s.settings.Tenants[tenant].QuotaRPS <= 0 {
 		return 1
 	}
-	u := &s.tenantUsage[tenant]
-	u.messages = u.messages*math.Exp2(-seconds(s.now-u.updatedAt)/seconds(quotaHalfLife)) + 1
-	u.updatedAt = s.now
-	if u.messages*math.Ln2/seconds(quotaHalfLife) >
+	usage := &s.tenantUsage[tenant]
+	usage.messages = usage.messages*math.Exp2(-seconds(s.now-usage.updatedAt)/seconds(quotaHalfLife)) + 1
+	usage.updatedAt = s.now
+	if usage.messages*math.Ln2/seconds(quotaHalfLife) >
 		s.settings.Tenants[tenant].QuotaRPS/float64(s.settings.Senders) {
 		return s.settings.OverShareWorth
 	}
 	return 1
 }
 
-// usualLatency is the median served latency of m's destination, else of its class; 0 if neither is known.
+// usualLatency returns the median latency of m's destination, else of its class; 0 if neither is known.
 func (s *Sender) usualLatency(m *message) Micros {
 	if m.destination.histogram.total >= minSamples {
 		return m.destination.histogram.median
@@ -52,37 +61,40 @@
 	return 0
 }
 
-// dispatch sends what the gate lets through, the most urgent first.
+// dispatch sends the messages that may be sent now, the most urgent first, and gives up messages where
+// the queue is nearly full.
 func (s *Sender) dispatch() {
-	var q []*message
+	var queue []*message
 	for _, m := range s.openMessages {
 		if m.attempt == nil && !m.ended {
 			if m.priority = s.urgency(m); s.atLastChance(m) {
 				m.priority = math.Inf(1)
 			}
 			m.destination.queuedAhead = 0
-			q = append(q, m)
+			queue = append(queue, m)
 		}
 	}
-	slices.SortStableFunc(q, func(a, b *message) int { return cmp.Compare(b.priority, a.priority) })
-	least := len(q) - 1
-	for least >= 0 && q[least].untried {
-		least--
+	slices.SortStableFunc(queue, func(a, b *message) int { return cmp.Compare(b.priority, a.priority) })
+	leastUrgent := len(queue) - 1
+	for leastUrgent >= 0 && queue[leastUrgent].untried {
+		leastUrgent--
 	}
-	for i, m := range q {
+	for i, m := range queue {
 		if s.trySend(m) {
 			continue
 		}
 		m.destination.queuedAhead++
-		// What the pace cannot send in time ends now, if the hold has little room: paces and limits come back.
-		p := s.destinationPace(m.destination)
-		late := p > 0 && m.destination.queuedAhead/p > seconds(m.deadline-s.now-s.usualLatency(m))
-		if late && s.openShare() > queueTightShare && !m.untried {
+		// If there is little room, a message that the pace cannot send in time ends at once. With enough
+		// room it stays, as paces and limits recover.
+		pace := s.destinationPace(m.destination)
+		tooLate := pace > 0 && m.destination.queuedAhead/pace > seconds(m.deadline-s.now-s.usualLatency(m))
+		if tooLate && s.openShare() > queueTightShare && !m.untried {
 			s.endMessage(m)
 			continue
 		}
-		// A nearly full hold gives up its least worthy rather than turning new messages away unseen.
-		if s.openShare() > queueFullShare && i == least && !m.mayHaveRun {
+		// A nearly full queue gives up its least urgent message rather than rejecting new ones without looking
+		// at them.
+		if s.openShare() > queueFullShare && i == leastUrgent && !m.mayHaveRun {
 			s.endMessage(m)
 		}
 	}
--- a/logic/rate_limit.go
+++ b/logic/rate_limit.go
@@ -1,93 +1,113 @@
 package logic
 
-// Rate limits: the pace of a destination, which halves on refusals and creeps back, and its even share of a
-// told limit.
+// Rate limits. Each limiter has a pace, the calls a second that this sender allows itself. The first
+// rejection sets it to the rate of the last second, further ones halve it at most once a second, and
+// successes raise it until it has no effect and is dropped. Where the destination's rate limit is known,
+// the pace is also bounded by this sender's share of it. Rejections also decide here when a rejected
+// message is retried, when a destination counts as unavailable, and whether idle connections are kept.
 
 import (
 	"math"
 )
 
 const (
-	minPaceRPS        = 1.0        // design: calls a second
-	paceInterval      = Second     // design: the span of the first pace, and between two halvings
-	idleCreditSpan    = Second / 2 // ours: what an idle pace saves up; more of it meets limits in bursts
-	paceGrowth        = 0.1        // ours: growth of the pace with each success
-	evenShareUsed     = 0.9        // ours: the same among many senders with nothing of the limit left ...
-	limitLeftFactor   = 1.6        // ours: ... and what all of it left adds to that
-	evenShareHeadroom = 1.25       // ours: a told limit bounds the pace to this many even shares of it
-	// ours: a pace this many times what is sent sets nothing any more and is dropped
+	// Lowest pace, calls a second.
+	minPaceRPS = 1.0
+	// The first pace is the number of calls in this span, and a pace is halved at most once in it.
+	paceInterval = Second
+	// Calls that an idle limiter saves up, as a span of its pace. With more, bursts would exceed the limit.
+	idleCreditSpan = Second / 2
+	// Growth of the pace with each success, as a share of it.
+	paceGrowth = 0.1
+	// Many senders: what a sender takes when nothing of the limit is left, in even shares of the limit.
+	evenShareUsed = 0.9
+	// Many senders: what a sender takes in addition when all of the limit is left, in even shares.
+	limitLeftFactor = 1.6
+	// Few senders: a known limit bounds the pace to this many even shares of it.
+	evenShareHeadroom = 1.25
+	// A pace of this many times the calls that are sent has no effect and is dropped.
 	dropPaceMultiple = 4.0
-	maxMeanRest      = 8 * Second // ours: longest mean rest of a lane after a refusal, among many senders
-	downRejections   = 4          // ours: refusals in a row that look like a shut destination ...
-	// ours: ... when they span this, more than a limit's window leaves empty
+	// Many senders: longest mean time between calls of a limiter after a rejection.
+	maxMeanRest = 8 * Second
+	// Rejections in a row that look like an unavailable destination ...
+	downRejections = 4
+	// ... if they span this time: the window of a limit would have passed, and some call would have been
+	// accepted.
 	downRejectionSpanMicros = 1500_000
-	// ours: a told wait past this is a shut destination, not a limit's window
+	// A retry-after wait longer than this means an unavailable destination, not the window of a limit.
 	downWait = 2 * Second
-	// ours: share above which a refused message of mean worth is not tried again
+	// Share of rejected calls above which a rejected message of mean worth is not retried.
 	maxRetryRejectedShare = 0.2
-	newConnsBeforeKeeping = 60   // ours: new connections after one was refused until any is kept again
-	newConnsForHalfKept   = 10.0 // ours: new connections let in until every second one is kept
-	minRestShare          = 0.1  // ours: least mean part of its time left that a refused message rests
+	// New connections that have to be accepted after a rejected one before idle connections may be kept.
+	newConnsBeforeKeeping = 60
+	// New connections accepted beyond that at which every second idle connection is kept.
+	newConnsForHalfKept = 10.0
+	// Lowest mean delay of a rejected message, as a share of the time that it has left.
+	minRestShare = 0.1
 )
 
-// paceAllowsAt says when the lane may take its next call.
+// paceAllowsAt returns when the limiter allows its next call; 0 if now. It fills the token bucket up to
+// now.
 func (s *Sender) paceAllowsAt(l *limiter) Micros {
-	r, save := l.pace, 1.0
-	if l.limit > 0 { // where a limit is told, it bounds the pace from the start
-		lim := l.limit
+	rate, maxTokens := l.pace, 1.0
+	if l.limit > 0 { // a known limit bounds the pace from the start
+		limit := l.limit
 		if s.settings.Weights == WeightsRough && !l.limitReported {
-			lim *= 1.5
+			limit *= 1.5
 		}
-		// It is for all senders together. Among few, traffic is even enough for the share to be so; among many,
-		// one sender's of a short while is not: it takes more while answers tell that some of the limit is left.
-		switch share := lim / float64(s.settings.Senders); {
+		// The limit is for all senders together. Among few senders traffic is even enough for even shares.
+		// Among many, the traffic of one sender varies from one moment to the next, so it takes more than
+		// its even share while load reports say that some of the limit is left.
+		switch share := limit / float64(s.settings.Senders); {
 		case !s.manySenders:
-			lim = min(lim, evenShareHeadroom*share)
+			limit = min(limit, evenShareHeadroom*share)
 		case s.settings.LimitLeftIndex >= 0:
-			lim = min(lim, evenShareUsed*share+l.limitLeft*max(limitLeftFactor*share, 1/seconds(s.shortestAim)))
-			save = 1 + l.limitLeft
+			limit = min(limit, evenShareUsed*share+l.limitLeft*max(limitLeftFactor*share, 1/seconds(s.shortestAim)))
+			maxTokens = 1 + l.limitLeft
 		}
-		if r == 0 || r > lim {
-			r = lim
+		if rate == 0 || rate > limit {
+			rate = limit
 		}
 	}
-	if r == 0 {
+	if rate == 0 {
 		return 0
 	}
-	l.tokens = min(l.tokens+r*seconds(s.now-l.refilledAt), max(save, r*seconds(idleCreditSpan)))
+	l.tokens = min(l.tokens+rate*seconds(s.now-l.refilledAt), max(maxTokens, rate*seconds(idleCreditSpan)))
 	l.refilledAt = s.now
 	if l.tokens >= 1-1e-9 {
 		return 0
 	}
-	return s.now + toMicros((1-l.tokens)/r*float64(Second)) + 1
+	return s.now + toMicros((1-l.tokens)/rate*float64(Second)) + 1
 }
 
-// reducePace slows a lane down: the pace starts at the last second's rate and is halved at most once a
-// second.
+// reducePace lowers the pace after a rejection: the first pace is the rate of the last second, and a pace
+// is halved at most once in paceInterval.
 func (s *Sender) reducePace(l *limiter) {
 	if s.now < l.halvedAt+paceInterval && l.pace > 0 {
 		return
 	}
-	switch f := s.minPace(l); {
-	// many: rest, or all that come keep the limit used up
-	case s.manySenders && f < minPaceRPS && l.waitUntil <= s.now:
-		l.pace = max(f, 1/seconds(maxMeanRest))
-	case s.manySenders && f < minPaceRPS || l.pace == 0:
-		l.pace = max(f, float64(countAfter(l.sentTimes, s.now-paceInterval)))
+	switch lowest := s.minPace(l); {
+	// Many senders: wait for long, since the first calls of all of them would keep the limit used up.
+	case s.manySenders && lowest < minPaceRPS && l.waitUntil <= s.now:
+		l.pace = max(lowest, 1/seconds(maxMeanRest))
+	case s.manySenders && lowest < minPaceRPS || l.pace == 0:
+		l.pace = max(lowest, float64(countAfter(l.sentTimes, s.now-paceInterval)))
 	default:
-		l.pace = max(f, l.pace/2)
+		l.pace = max(lowest, l.pace/2)
 	}
 	l.halvedAt = s.now
 	s.paceAllowsAt(l)
-	// Others were refused too: the next call comes half a pace early or late, or up to one after a wait.
+	// Other senders were rejected too, so the next call comes up to half an interval early or late, or up
+	// to one interval after a retry-after wait.
 	l.tokens = min(l.tokens, s.rng.Float64()-0.5)
 	if l.waitUntil > s.now {
 		l.refilledAt, l.tokens = l.waitUntil, l.tokens+0.5
 	}
 }
 
-// minPace is one call a second, but no more than an even share of a limit that is told: with many senders at
-// a destination that counts refused calls, floors alone would use the limit up.
+// minPace returns the lowest pace: one call a second, but no more than an even share of a known limit.
+// Where rejected calls count against the limit, the lowest paces of many senders alone would otherwise
+// use it up.
 func (s *Sender) minPace(l *limiter) float64 {
 	if l.limit > 0 {
 		return min(minPaceRPS, l.limit/float64(s.settings.Senders))
@@ -95,6 +115,8 @@
 	return minPaceRPS
 }
 
+// raisePace raises the pace after a success and drops it once it has no effect. Among many senders whose
+// even share is less than minPaceRPS it is dropped at once.
 func (s *Sender) raisePace(l *limiter) {
 	if l.pace == 0 {
 		return
@@ -106,49 +128,53 @@
 	}
 }
 
-// rejectedUnexamined says whether many senders' connections left no room for a call: its limit was not looked
-// at, so the refusal tells neither a wait nor a report.
+// rejectedUnexamined says whether a call was rejected because the connections of many senders left no
+// room for it. Such a rejection carries neither a wait nor a load report, and says nothing about the rate
+// limit.
 func (s *Sender) rejectedUnexamined(r AttemptResult) bool {
 	return s.manySenders && r.Outcome == Rejected && r.RetryAfter == 0 && len(r.Load) == 0 &&
 		s.settings.LimitIndex >= 0
 }
 
-// recordConnRoom notes what an attempt tells of the room for connections at a kind.
+// recordConnRoom records what a result says about the room for connections at the endpoints of a kind.
 func (s *Sender) recordConnRoom(a *attempt, r AttemptResult) {
-	switch k := int(a.endpoint.destination.kind); {
+	switch kind := int(a.endpoint.destination.kind); {
 	case s.rejectedUnexamined(r) || s.settings.LimitIndex < 0 && r.Outcome == Rejected && r.RetryAfter == 0:
-		s.newConnsAccepted[k] = -newConnsBeforeKeeping
+		s.newConnsAccepted[kind] = -newConnsBeforeKeeping
 	case a.newConn:
-		s.newConnsAccepted[k]++
+		s.newConnsAccepted[kind]++
 	}
 }
 
-// keepsIdleConn says whether an idle connection is kept. Who keeps one meets no refusal, so that a fleet in
-// which all keep theirs learns too late that it fills a kind: each keeps the more, the more new ones were let
-// in.
+// keepsIdleConn says whether an idle connection to e is kept, by a random choice. A sender that keeps its
+// connections sees no rejected ones, so that senders that all keep theirs notice too late that they use
+// up a kind's connections. The more new connections were accepted, the more are kept.
 func (s *Sender) keepsIdleConn(e *endpoint) bool {
-	n := float64(s.newConnsAccepted[int(e.destination.kind)])
-	return n > 0 && s.rng.Float64() < n/(n+newConnsForHalfKept)
+	accepted := float64(s.newConnsAccepted[int(e.destination.kind)])
+	return accepted > 0 && s.rng.Float64() < accepted/(accepted+newConnsForHalfKept)
 }
 
-// retryRejected decides on a refused message where the floors of all senders add up past the limit. Calls
-// tried again, by clients too, use up limits that count refusals. While the kind turns few away, a message
-// rests for a part of its time left, so that clumps spread; with more, only the worthier do.
+// retryRejected decides whether and when a rejected message is retried, where the lowest paces of all
+// senders add up to more than the limit. Retries, also those of clients, use up limits that count
+// rejected calls. While few calls to the kind are rejected, the message waits for a random part of its
+// time left, which spreads bursts. When more are rejected, only messages of higher worth are retried, and
+// the others fail.
 func (s *Sender) retryRejected(m *message, e *endpoint) {
-	x := s.rejectedShare[int(e.destination.kind)]
-	if x > maxRetryRejectedShare*m.class.Worth/s.meanWorth {
+	rejected := s.rejectedShare[int(e.destination.kind)]
+	if rejected > maxRetryRejectedShare*m.class.Worth/s.meanWorth {
 		s.emit(Fail{ID: m.id})
 		s.forgetMessage(m)
 		return
 	}
-	part := (minRestShare + x) * (0.5 + s.rng.Float64())
-	m.notBefore = max(s.now, e.limiter.waitUntil) + Micros(part*float64(m.deadline-s.now))
+	restShare := (minRestShare + rejected) * (0.5 + s.rng.Float64())
+	m.notBefore = max(s.now, e.limiter.waitUntil) + Micros(restShare*float64(m.deadline-s.now))
 }
 
-// recordRejection notes a refusal; refusals in a row over longer than a limit's window, or a long told wait,
-// mean shut. Many senders come too rarely to tell by four: those that were refused twice would topple what
-// opens again.
-func (s *Sender) recordRejection(e *endpoint, wait Micros) {
+// recordRejection records a rejection. Rejections in a row over more than the window of a limit, or a
+// long retry-after wait, mean that the destination is unavailable. Many senders call too rarely for four
+// in a row, so two are enough for them: otherwise senders that were rejected twice would overload a
+// destination that returns.
+func (s *Sender) recordRejection(e *endpoint, retryAfter Micros) {
 	e.consecutiveRejections++
 	l := e.limiter
 	if l.consecutiveRejections < math.MaxUint16 {
@@ -157,7 +183,7 @@
 	if l.consecutiveRejections == 1 {
 		l.firstRejectedAt = s.now
 	}
-	if e.ejected || wait > downWait || (l.consecutiveRejections >= downRejections ||
+	if e.ejected || retryAfter > downWait || (l.consecutiveRejections >= downRejections ||
 		s.manySenders && l.consecutiveRejections > 1) &&
 		s.now-l.firstRejectedAt > downRejectionSpanMicros {
 		e.lastFailureAt = s.now
--- a/logic/restart_time.go
+++ b/logic/restart_time.go
@@ -1,27 +1,42 @@
 package logic
 
-// The restart time τ of a destination, from the histogram of its latencies, and calls that are cut off.
+// The restart time τ (tau) of a destination. A running attempt older than τ is cancelled and resent,
+// elsewhere if possible. τ is the time that gives the least expected time to an answer if every attempt
+// is restarted at it, computed from a histogram of latencies in which old samples lose weight. It is used
+// only where it is clearly better than waiting. Calls that get no answer for much longer than usual are
+// stuck: they lead to ejection and are cancelled too.
 
 import (
 	"math"
 )
 
 const (
-	histogramHalfLife  = 30 * Second // design: half-life of the latency histograms
-	firstBinEdgeMicros = 2000        // ours: upper edge of the first bin, microseconds
-	binRatio           = 1.25        // ours: each edge over the one before; finer bins need more samples
-	binCount           = 48          // ours: the last edge lies near 70 s
-	minTauSamples      = 12.0        // ours: samples before τ is; an early τ cuts healthy calls
-	// ours: ⟨t⟩ at τ must be under this part of ⟨t⟩ of waiting; noise reaches 0.9
-	maxTauRatio      = 0.85
-	maxCutOffs       = 2          // ours: restarts of one message; each doubles the next limit
-	stuckP95Multiple = 2.0        // ours: a call is stuck past this many times the 95th percentile ...
-	minStuckAfter    = Second / 2 // ours: ... and this
-	// ours: a stuck call is called off past this many times the time that made it so
+	// Half-life of the weight of samples in the latency histograms.
+	histogramHalfLife = 30 * Second
+	// Upper edge of the first bin.
+	firstBinEdgeMicros = 2000
+	// Each edge divided by the one before. Finer bins would need more samples.
+	binRatio = 1.25
+	// Number of edges; the last one is near 70 s. One more bin holds the latencies above it.
+	binCount = 48
+	// Weight of samples from which on τ is used. If it is used earlier, healthy calls are cut off.
+	minTauSamples = 12.0
+	// τ is used only if the expected time with it is below this share of that by waiting. Random variation
+	// alone reaches 0.9.
+	maxTauRatio = 0.85
+	// Cut-offs of one message at most. Each doubles the time limit of the next attempt.
+	maxCutOffs = 2
+	// A call is stuck when it is older than this many times the 95th percentile of latencies ...
+	stuckP95Multiple = 2.0
+	// ... and than this.
+	minStuckAfter = Second / 2
+	// A stuck call is cancelled at this many times the age at which it became stuck.
 	stuckCancelMultiple = 2
-	defaultStuckAfter   = 2 * Second // ours: where no latency is known yet
+	// Age at which a call is stuck where no latencies are known.
+	defaultStuckAfter = 2 * Second
 )
 
+// binEdges are the upper edges of the histogram's bins.
 var binEdges = func() (e [binCount]Micros) {
 	x := float64(firstBinEdgeMicros)
 	for i := range e {
@@ -31,56 +46,61 @@
 	return e
 }()
 
-func (h *histogram) add(now, took Micros, cut bool) {
-	f := math.Exp2(-float64(now-h.updatedAt) / float64(histogramHalfLife))
+// add discounts the old samples and adds one: an answered attempt with its latency, or one that was cut
+// off.
+func (h *histogram) add(now, latency Micros, cutOff bool) {
+	factor := math.Exp2(-float64(now-h.updatedAt) / float64(histogramHalfLife))
 	h.updatedAt = now
-	h.bins.discount(f)
-	h.total, h.cutOffs = h.total*f, h.cutOffs*f
-	if cut {
+	h.bins.discount(factor)
+	h.total, h.cutOffs = h.total*factor, h.cutOffs*factor
+	if cutOff {
 		h.cutOffs++
 	} else {
-		h.addSample(binIndex(took))
+		h.addSample(binIndex(latency))
 		h.total++
 	}
 	h.recompute()
 }
 
-// recompute finds τ, the edge with the least mean time to an answer under unlimited restarts, and
-// percentiles.
+// recompute computes τ and the percentiles. τ is the edge with the least expected time to an answer if
+// every attempt is restarted at it. With share = answered/all, the share of attempts that are answered by
+// an edge, that time is (latencySum/all + edge*(1-share)) / share. Its value at the last edge stands for
+// waiting.
 func (h *histogram) recompute() {
 	h.tau, h.median, h.p95 = 0, 0, 0
 	all := h.total + max(h.cutOffs, 0)
-	var m0, m1 float64
-	best, bestAt, wait := math.Inf(1), Micros(0), math.Inf(1)
+	var answered, latencySum float64
+	bestExpected, bestEdge, expected := math.Inf(1), Micros(0), math.Inf(1)
 	for i, edge := range binEdges {
-		low := Micros(0)
+		lower := Micros(0)
 		if i > 0 {
-			low = binEdges[i-1]
+			lower = binEdges[i-1]
 		}
-		w := h.bins.weight(i)
-		m0 += w
-		m1 += w * float64(low+edge) / 2
-		if h.median == 0 && m0 >= h.total/2 {
+		weight := h.bins.weight(i)
+		answered += weight
+		latencySum += weight * float64(lower+edge) / 2
+		if h.median == 0 && answered >= h.total/2 {
 			h.median = edge
 		}
-		if h.p95 == 0 && m0 >= 0.95*h.total {
+		if h.p95 == 0 && answered >= 0.95*h.total {
 			h.p95 = edge
 		}
-		if m0 == 0 {
+		if answered == 0 {
 			continue
 		}
-		p := m0 / all
-		wait = (m1/all + float64(edge)*(1-p)) / p
-		if wait < best {
-			best, bestAt = wait, edge
+		share := answered / all
+		expected = (latencySum/all + float64(edge)*(1-share)) / share
+		if expected < bestExpected {
+			bestExpected, bestEdge = expected, edge
 		}
 	}
-	if h.total >= minTauSamples && best < maxTauRatio*wait {
-		h.tau = bestAt
+	if h.total >= minTauSamples && bestExpected < maxTauRatio*expected {
+		h.tau = bestEdge
 	}
 }
 
-// stuckAfter is the time after which an unanswered call speaks for an outage.
+// stuckAfter returns the age at which a call without an answer is a sign of an outage. It uses the
+// latencies of the destination, else of the message's class.
 func (s *Sender) stuckAfter(d *destination, m *message) Micros {
 	h := &d.histogram
 	if h.total < minSamples {
@@ -92,9 +112,10 @@
 	return max(Micros(stuckP95Multiple*float64(h.p95)), 3*h.median, minStuckAfter)
 }
 
-// cutOffLongCalls calls off attempts at τ, and those that hang at an endpoint that answers nothing.
+// cutOffLongCalls cancels attempts that have passed the restart time, and stuck ones at endpoints that do
+// not answer.
 func (s *Sender) cutOffLongCalls() {
-	var oldest *attempt
+	var oldestUnsafe *attempt
 	for _, a := range s.attempts {
 		if a.cancelled || a.message.streaming {
 			continue
@@ -103,14 +124,15 @@
 		stuck := s.stuckAfter(e.destination, a.message)
 		if !a.stuck && e.lastSuccessAt < a.sentAt {
 			if a.stuck = age > stuck; a.stuck {
-				// No outcome yet, so nothing is known to have failed: hold back, but set no budget.
+				// There is no outcome yet, so no failure is certain: eject the endpoint, but set no budget.
 				s.eject(e, "silent")
 				s.markSiblingsHealthy(e)
 			}
 		}
 		if !a.countedLate && age > stuckCancelMultiple*stuck {
-			// Ours: a call still out past what is usual counts as lasting past τ until it answers. Else lost
-			// answers, with all others quick, never show in the histogram and hold slots to their deadline.
+			// A call that is out for longer than usual counts as one that lasts past τ, until it is
+			// answered. Lost answers would otherwise never show in the histogram while all other calls are
+			// quick, and would hold slots until their deadline.
 			a.countedLate = true
 			e.destination.histogram.add(s.now, age, true)
 			s.classHistograms[a.message.classIndex].add(s.now, age, true)
@@ -122,13 +144,14 @@
 			continue
 		}
 		if a.message.class.Effect == Unsafe {
-			if age > stuckCancelMultiple*stuck && (oldest == nil || a.sentAt < oldest.sentAt) {
-				oldest = a
+			if age > stuckCancelMultiple*stuck && (oldestUnsafe == nil || a.sentAt < oldestUnsafe.sentAt) {
+				oldestUnsafe = a
 			}
 			continue
 		}
-		long := stuck << a.message.cutOffs
-		if a.stuck && e.ejected && (age > stuckCancelMultiple*long || age > long && s.hasHealthySibling(e)) {
+		stuckLimit := stuck << a.message.cutOffs
+		if a.stuck && e.ejected && (age > stuckCancelMultiple*stuckLimit ||
+			age > stuckLimit && s.hasHealthySibling(e)) {
 			a.message.cutOffs = min(a.message.cutOffs+1, maxCutOffs)
 			s.cancelAttempt(a)
 			continue
@@ -138,29 +161,31 @@
 			h = &s.classHistograms[a.message.classIndex]
 		}
 		if h.tau > 0 && s.mayCutOff(a) {
-			limit := max(h.tau<<a.message.cutOffs, long)
-			if age > limit {
+			cutOffLimit := max(h.tau<<a.message.cutOffs, stuckLimit)
+			if age > cutOffLimit {
 				a.cutOff = true
 				a.message.cutOffs++
 				s.cancelAttempt(a)
 			} else {
-				s.wakeBy(a.sentAt + limit + 1)
+				s.wakeBy(a.sentAt + cutOffLimit + 1)
 			}
 		}
 	}
-	// An unsafe call cannot be sent again, so it may wait; but not with the last slot, while others could go.
-	if oldest != nil && s.slotsInUse >= s.settings.Slots && s.settings.Slots > 0 {
+	// An unsafe call cannot be resent, so it may wait. But it may not hold the last slot while messages for
+	// other destinations could be sent.
+	if oldestUnsafe != nil && s.slotsInUse >= s.settings.Slots && s.settings.Slots > 0 {
 		for _, m := range s.openMessages {
-			if m.attempt == nil && m.destination != oldest.message.destination {
-				s.cancelAttempt(oldest)
+			if m.attempt == nil && m.destination != oldestUnsafe.message.destination {
+				s.cancelAttempt(oldestUnsafe)
 				break
 			}
 		}
 	}
 }
 
-// mayCutOff: a restart must have attempts and time left, and must not add to the load of a destination that
-// refuses or recovers, unless the call holds one of the last slots.
+// mayCutOff says whether an attempt may be cut off at the restart time. The message must have attempts
+// and time left. The resend must not add to the load of a destination that rejects or recovers, unless
+// the call holds one of the last slots.
 func (s *Sender) mayCutOff(a *attempt) bool {
 	m, e := a.message, a.endpoint
 	if m.cutOffs >= maxCutOffs || s.settings.MaxTries > 0 && m.tries >= s.settings.MaxTries {
--- a/logic/routing.go
+++ b/logic/routing.go
@@ -1,6 +1,9 @@
 package logic
 
-// Which endpoint of its destination a message goes to.
+// Which endpoint of its destination a message is sent to. First attempts rotate over the endpoints. Among
+// those that maySend allows, the one with the lowest penalty is taken, and of equal ones the first in
+// rotation. There are penalties for opening a new call, for a new connection (with many senders), for the
+// endpoint of the attempt before, for rejections in a row, and for being much slower than the others.
 
 import (
 	"math"
@@ -8,21 +11,23 @@
 )
 
 const (
-	slowLatencyMultiple = 3.0        // ours: an endpoint this much slower than its best sibling is passed over
-	slowRetryInterval   = 4 * Second // ours: but tried again after this
+	// An endpoint this many times slower than the fastest of its destination is avoided.
+	slowLatencyMultiple = 3.0
+	// But it is tried again this long after its last call, to see whether it has become faster.
+	slowRetryInterval = 4 * Second
 )
 
-// trySend tries the endpoints of m's destination in rotation and reports whether one took it.
+// trySend sends m to the best endpoint that may take it now, and reports whether there was one.
 func (s *Sender) trySend(m *message) bool {
 	d := m.destination
-	best := math.Inf(1)
+	bestLatency := math.Inf(1)
 	for _, e := range d.endpoints {
 		if e.smoothedLatency > 0 && !e.ejected {
-			best = min(best, e.smoothedLatency)
+			bestLatency = min(bestLatency, e.smoothedLatency)
 		}
 	}
 	var pick *endpoint
-	rank := 99
+	bestPenalty := 99
 	for i := range d.endpoints {
 		e := d.endpoints[(d.nextEndpoint+i)%len(d.endpoints)]
 		ok, at := s.maySend(m, e)
@@ -30,38 +35,39 @@
 			s.wakeBy(at)
 			continue
 		}
-		r := 0
+		penalty := 0
 		if !s.joinsOpenCall(e) {
-			r++ // a call that leaves anyway comes first
+			penalty++ // joining a call that is sent anyway is better
 		}
 		if s.manySenders && (s.now >= e.idleConnUntil || int(e.inflight) >= max(s.settings.ConnCalls, 1)) {
-			r++ // among many senders connections rarely last until the rotation comes round again
+			penalty++ // with many senders, connections rarely stay open until the rotation returns to them
 		}
 		if e == m.lastEndpoint {
-			r += 4 // a resend goes elsewhere where it can
+			penalty += 4 // a resend goes to another endpoint if possible
 		}
 		if e.consecutiveRejections > 1 {
-			r += 2 // refuses while others may not: draining, or a route at its limit
+			penalty += 2 // rejects while others may not: it may be draining, or a route at its limit
 		}
-		if e.smoothedLatency > slowLatencyMultiple*best && s.now < e.lastSentAt+slowRetryInterval {
-			r += 2
+		if e.smoothedLatency > slowLatencyMultiple*bestLatency && s.now < e.lastSentAt+slowRetryInterval {
+			penalty += 2
 		}
-		if r < rank {
-			rank, pick = r, e
+		if penalty < bestPenalty {
+			bestPenalty, pick = penalty, e
 		}
 	}
 	if pick == nil {
 		return false
 	}
-	if m.tries == 0 && rank > 0 {
+	if m.tries == 0 && bestPenalty > 0 {
 		d.nextEndpoint = (slices.Index(d.endpoints, pick) + 1) % len(d.endpoints)
 	}
 	s.sendTo(m, pick)
 	return true
 }
 
+// sendTo starts an attempt of m at e, in the call that this Step has opened to e or in a new one.
 func (s *Sender) sendTo(m *message, e *endpoint) {
-	cold := s.now >= e.idleConnUntil || int(e.inflight) >= max(s.settings.ConnCalls, 1) // needs a new connection
+	newConn := s.now >= e.idleConnUntil || int(e.inflight) >= max(s.settings.ConnCalls, 1)
 	if !s.joinsOpenCall(e) {
 		e.openCall = &call{step: s.step}
 		s.slotsInUse++
@@ -74,12 +80,12 @@
 			s.backOffTrials(e)
 		}
 	}
-	a, give := s.addAttempt(m, e), m.deadline-s.now
-	a.newConn = cold
+	a, giveUp := s.addAttempt(m, e), m.deadline-s.now
+	a.newConn = newConn
 	if !s.settings.MayCancel && m.class.Effect != Unsafe {
-		give = min(give, 2*s.stuckAfter(e.destination, m)) // nothing can be called off here: let it time out
+		giveUp = min(giveUp, 2*s.stuckAfter(e.destination, m)) // it cannot be cancelled, so it has to time out
 	}
-	s.emit(CallOut{ID: a.message.id, GiveUp: give, Endpoint: e.id})
-	// looked at in time even if nothing else happens until then
+	s.emit(CallOut{ID: a.message.id, GiveUp: giveUp, Endpoint: e.id})
+	// Whether the call is stuck is checked in time even if no event comes until then.
 	s.wakeBy(s.now + s.stuckAfter(e.destination, m) + 1)
 }
--- a/logic/slow_start.go
+++ b/logic/slow_start.go
@@ -1,78 +1,88 @@
 package logic
 
-// Slow start: what goes to a destination that is back from an outage is budgeted over all senders.
+// Slow start. A destination that returns from an outage has a part of its capacity only (ColdFrom), which
+// grows to all of it over WarmAfter, and too many calls in FallWindow would overload it again. What this
+// sender may send is its share of that: FallMultiple times the present capacity times FallWindow, divided
+// by the number of senders. Where that share is less than one call, the window is made longer.
 
 import (
 	"slices"
 )
 
 const (
-	resentTrafficShare = 1.0 // ours: part of the traffic of an outage that comes again at one time
+	// Part of the traffic of an outage that is resent at the same time.
+	resentTrafficShare = 1.0
 )
 
-// budgetAllowsAt keeps what goes to a destination after an outage under this sender's share of what topples
-// it. The endpoints of a lane that are cold share one budget: the lane falls over as a whole.
+// budgetAllowsAt returns when the budget of the slow start allows the next call to e; 0 if now or if
+// there is no budget. The recovering endpoints of a limiter share one budget, since they are overloaded
+// together. An endpoint that is not known to have been healthy during the outage of another counts as
+// recovering too.
 func (s *Sender) budgetAllowsAt(e *endpoint) Micros {
 	if e.recovering && !e.ejected && s.now >= e.returnedAt+s.settings.WarmAfter {
 		e.recovering = false
 	}
 	if !e.recovering && !(e.destination.hadOutage &&
 		slices.ContainsFunc(e.destination.endpoints, func(x *endpoint) bool {
-			// e did not answer while x was out
+			// e has not answered since x failed
 			return x.recovering && x.limiter == e.limiter && x.lastFailureAt > e.lastHealthyAt
 		})) {
 		return 0
 	}
-	up, cold, last, long := 1.0, 0, []Micros(nil), s.settings.FallWindow
+	recovered, count, sentTimes, window := 1.0, 0, []Micros(nil), s.settings.FallWindow
 	for _, x := range e.destination.endpoints {
 		if (x.recovering || x == e) && x.limiter == e.limiter {
-			cold++
-			last = append(last, x.sentTimes...)
+			count++
+			sentTimes = append(sentTimes, x.sentTimes...)
 			if x.ejected {
-				up = min(up, 0)
+				recovered = min(recovered, 0)
 			} else if x.recovering {
-				up = min(up, seconds(s.now-x.returnedAt)/seconds(s.settings.WarmAfter))
+				recovered = min(recovered, seconds(s.now-x.returnedAt)/seconds(s.settings.WarmAfter))
 			}
 		}
 	}
-	c := s.estimatedCapacity(e) * float64(max(cold, 1))
-	k := s.settings.FallMultiple * (s.settings.ColdFrom + (1-s.settings.ColdFrom)*up) * seconds(long)
-	most := k * c / float64(s.settings.Senders)
-	slices.Sort(last)
-	if most < 1 {
-		// Many senders: our share is that of our messages among all since the outage began, which add up however
-		// many saw it; and one call goes in a longer span, at a time of our own.
-		own := resentTrafficShare * float64(e.destination.arrivals) /
+	capacity := s.estimatedCapacity(e) * float64(max(count, 1))
+	// Calls in the window for each call a second of capacity, at the present stage of the recovery.
+	callsPerRate := s.settings.FallMultiple *
+		(s.settings.ColdFrom + (1-s.settings.ColdFrom)*recovered) * seconds(window)
+	maxCalls := callsPerRate * capacity / float64(s.settings.Senders)
+	slices.Sort(sentTimes)
+	if maxCalls < 1 {
+		// Many senders: this sender's share is its part of all messages since the outage began. These parts
+		// add up to the whole traffic, however many senders noticed the outage. The one call goes in a
+		// longer window, at a random time in it.
+		ownRate := resentTrafficShare * float64(e.destination.arrivals) /
 			seconds(s.now-e.destination.lastOutageAt+assumedOutage)
 		if e.limiter != e.destination.limiter {
-			own /= float64(len(e.destination.endpoints))
+			ownRate /= float64(len(e.destination.endpoints))
 		}
-		most = max(most, k*min(own, c/2))
-		long = toMicros(float64(long) / min(most, 1))
+		maxCalls = max(maxCalls, callsPerRate*min(ownRate, capacity/2))
+		window = toMicros(float64(window) / min(maxCalls, 1))
 		at := max(e.limiter.waitUntil, e.destination.lastOutageAt)
-		if n := len(last); n > 0 {
-			at = max(at, last[n-1]+long/2)
+		if n := len(sentTimes); n > 0 {
+			at = max(at, sentTimes[n-1]+window/2)
 		}
-		if most < 1 {
-			return at + Micros(e.limiter.phase*float64(long))
+		if maxCalls < 1 {
+			return at + Micros(e.limiter.phase*float64(window))
 		}
 	}
-	if n := countAfter(last, s.now-long); float64(n+1) > most {
-		return last[len(last)-n] + long + 1
+	if n := countAfter(sentTimes, s.now-window); float64(n+1) > maxCalls {
+		return sentTimes[len(sentTimes)-n] + window + 1
 	}
 	return 0
 }
 
-// estimatedCapacity is a low guess of the calls a second that an endpoint takes.
+// estimatedCapacity returns a low estimate of the calls a second that an endpoint can take from all
+// senders: its part of the known limit, or else of the highest rate that this sender has reached.
 func (s *Sender) estimatedCapacity(e *endpoint) float64 {
-	c := e.limiter.limit
-	if c == 0 {
-		c = max(e.limiter.peakRate, minPaceRPS)
+	capacity := e.limiter.limit
+	if capacity == 0 {
+		capacity = max(e.limiter.peakRate, minPaceRPS)
 	} else if s.settings.Weights == WeightsRough && !e.limiter.limitReported {
-		c /= 1.5
+		capacity /= 1.5
 	}
 	if e.limiter == e.destination.limiter {
-		c /= float64(max(len(e.destination.endpoints), 1))
+		capacity /= float64(max(len(e.destination.endpoints), 1))
 	}
-	return c
+	return capacity
 }
--- a/logic/state.go
+++ b/logic/state.go
@@ -7,131 +7,148 @@
 	"slices"
 )
 
-// State of a Sender, and helpers that only keep it. What to do with it is decided in logic.go.
-
-// destination is a destination. Its lane is the limit that its endpoints share; routes apart have one each.
+// The state of a Sender and the helpers that maintain it. Three tables hold it: the destinations, their
+// endpoints, and the messages that have not ended. A destination keeps a histogram of its latencies and a
+// limiter, which holds its rate limit and pace. Decisions are made in the files that logic.go lists.
+//
+// In the whole package d is a destination, e an endpoint, l a limiter, m a message, a an attempt and h a
+// histogram.
+
+// destination is the state of one destination.
 type destination struct {
-	id           int64
-	endpoints    []*endpoint // listed, in list order
+	id        int64
+	endpoints []*endpoint // listed ones, in list order
+	// Shared by the endpoints; with Kind.SeparateRoutes each endpoint has its own and this one counts no calls.
 	limiter      *limiter
-	histogram    histogram
-	lastUsedAt   Micros
-	lastOutageAt Micros  // when the last outage was seen
-	queuedAhead  float64 // messages ahead in the pass at hand
-	nextEndpoint int     // rotation of first sends
-	kind         int32
-	arrivals     int32 // messages since the last outage began
-	messageCount int32 // messages in the books
-	hadOutage    bool  // an endpoint of it was cold or suspect once
-}
-
+	histogram    histogram // of the latencies of all its endpoints
+	lastUsedAt   Micros    // when the last message for it arrived
+	lastOutageAt Micros    // when its last outage was first noticed
+	queuedAhead  float64   // during dispatch: messages for it that are more urgent and have to wait
+	nextEndpoint int       // index at which the rotation of first attempts goes on
+	kind         int32     // index in Settings.Kinds
+	arrivals     int32     // messages accepted for it since its last outage was noticed
+	messageCount int32     // messages for it in Sender.messages
+	hadOutage    bool      // one of its endpoints has been ejected or recovering at some time
+}
+
+// limiter is what endpoints that share a rate limit have in common: the limit, and the pace that this sender
+// keeps to because of rejections. Calls take tokens from a bucket that fills at the pace.
 type limiter struct {
-	limit           float64 // calls a second for all senders, as told; 0 if not
-	limitLeft       float64 // share of the limit that is left, as told last
-	pace            float64 // 0: free
-	halvedAt        Micros
-	tokens          float64
-	refilledAt      Micros
-	waitUntil       Micros // told wait
-	firstRejectedAt Micros
-	sentTimes       []Micros
-	peakRate        float64
-	// 0 to 1, drawn at each call: sets the next one apart from those of other senders
+	limit           float64  // rate limit in calls a second for all senders together; 0 if not known
+	limitLeft       float64  // share of the limit that was left by the last report, 0 to 1
+	pace            float64  // this sender's calls a second; 0 if it has none
+	halvedAt        Micros   // when the pace was last set or halved
+	tokens          float64  // calls that may be sent at refilledAt; below 0, calls have to wait
+	refilledAt      Micros   // when tokens was last computed
+	waitUntil       Micros   // end of the last retry-after wait
+	firstRejectedAt Micros   // first of the rejections in a row
+	sentTimes       []Micros // recent calls, in order
+	peakRate        float64  // most calls that this sender sent in one second
+	// A random number from 0 to 1, drawn anew for each call. It spreads the next call in time from those of
+	// other senders.
 	phase                 float64
-	inflight              int32
-	consecutiveRejections uint16 // in a row
-	limitReported         bool   // limit came in a report
+	inflight              int32  // calls in flight
+	consecutiveRejections uint16 // in a row, at all endpoints together
+	limitReported         bool   // limit comes from a load report, not from the endpoint list
 }
 
+// endpoint is the state of one endpoint. The points in time that have not happened yet are distantPast or 0.
 type endpoint struct {
 	id                                         EndpointID
 	zone                                       int32
-	consecutiveFailures, consecutiveRejections int32 // in a row
-	inflight                                   int32
+	consecutiveFailures, consecutiveRejections int32 // in a row, ended by a success
+	inflight                                   int32 // calls in flight
 	state                                      EndpointState
-	ejected                                    bool // out, as far as we know
-	recovering                                 bool // was out; budgeted until backAt+WarmAfter
-	listed                                     bool // on the whole list at hand
+	ejected                                    bool // taken for down: gets single trial calls only
+	recovering                                 bool // after an outage: budgeted until returnedAt+WarmAfter
+	listed                                     bool // used by removeUnlisted only: on the list at hand
 	destination                                *destination
 	limiter                                    *limiter
-	sentTimes                                  []Micros
-	failureRate                                float64
+	sentTimes                                  []Micros // recent calls, in order
+	failureRate                                float64  // smoothed share of calls that failed, 0 to 1
 	lastSuccessAt, lastFailureAt               Micros
-	lastHealthyAt                              Micros // last answer that shows it to be well for itself
-	lastAnsweredSentAt                         Micros // when the last call that it answered was sent
-	returnedAt                                 Micros
-	nextTrialAt, trialInterval                 Micros
-	smoothedLatency                            float64 // smoothed latency, microseconds
+	lastHealthyAt                              Micros  // last answer that shows this endpoint to be healthy
+	lastAnsweredSentAt                         Micros  // send time of the latest call that was answered
+	returnedAt                                 Micros  // end of the last outage
+	nextTrialAt, trialInterval                 Micros  // ejected: next trial call, and the time between two
+	smoothedLatency                            float64 // microseconds; 0 if not known
 	lastSentAt                                 Micros
 	removedAt                                  Micros
-	idleConnUntil                              Micros // an idle connection lasts until then
-	openCall                                   *call
+	idleConnUntil                              Micros // an idle connection is open until then
+	openCall                                   *call  // the call that further messages of this Step may join
 }
 
+// call is a call in flight, which carries one or more attempts: the Step that opened it, how many attempts it
+// carries and how many of them have no outcome yet.
 type call struct{ step, attempts, pending int }
 
+// attempt is an attempt that has no outcome yet.
 type attempt struct {
 	message     *message
-	number      int
+	number      int // 0 for the message's first
 	endpoint    *endpoint
 	sentAt      Micros
 	call        *call
 	cancelled   bool
-	cutOff      bool // cancelled at τ
-	stuck       bool
-	newConn     bool // over a new connection
-	countedLate bool // counted as lasting past τ while it is out
+	cutOff      bool // cancelled because it passed the restart time
+	stuck       bool // without an answer for longer than stuckAfter
+	newConn     bool // sent on a new connection
+	countedLate bool // counted in the histograms as a cut-off while it is still in flight
 }
 
+// message is a message that has not ended, or that has ended with an attempt still in flight.
 type message struct {
 	id                string
 	class             *Class
 	classIndex        int
-	worthShare        float64 // part of its worth that it keeps by its tenant's quota
+	worthShare        float64 // share of its worth that its tenant's quota leaves, 0 to 1
 	destination       *destination
-	seq               int
-	receivedAt        Micros // when it was first handed in
+	seq               int    // number in order of arrival, from 1
+	receivedAt        Micros // when it was first accepted, also if that was before a restart
 	deadline          Micros
-	tries             int
-	cutOffs           int
-	attempt           *attempt
-	mayHaveRun        bool
-	firstMayHaveRunAt Micros // send of the first attempt that may have run
-	mayHaveRunZone    int32
+	tries             int      // attempts made
+	cutOffs           int      // attempts cancelled for taking too long
+	attempt           *attempt // the one in flight; nil if none
+	mayHaveRun        bool     // an attempt may have taken effect
+	firstMayHaveRunAt Micros   // when the first attempt that may have run was sent
+	mayHaveRunZone    int32    // zone of that attempt's endpoint
 	lastEndpoint      *endpoint
-	notBefore         Micros
-	keyQueue          *keyQueue
+	notBefore         Micros    // not sent before then
+	keyQueue          *keyQueue // nil if its order does not matter
 	ended             bool
-	streaming         bool
-	arrivalStep       int  // step
-	untried           bool // a restart found it, or would find it over, and no call of it has been made
-	// when half of the time is over that it had here: it waits no longer for the first list
+	streaming         bool // an answer is streaming to the client: neither cancelled nor resent
+	arrivalStep       int  // the Step that accepted it
+	// Was found after a restart, or would expire during one, and has not been sent yet.
+	untried bool
+	// Half of the time that it had when it arrived; it waits no longer than this for the first list.
 	listWaitUntil Micros
-	lastChanceAt  Micros // untried: how long it waits for the pace
-	priority      float64
+	lastChanceAt  Micros  // untried: from then on it is sent regardless of the pace
+	priority      float64 // during dispatch: higher goes first
 }
 
+// keyQueue holds the messages of one order key, in order of arrival.
 type keyQueue struct {
 	messages   []*message
-	quietUntil Micros
-	quietOwner *message
+	quietUntil Micros   // the key rests until then, since an earlier attempt may still run
+	quietOwner *message // the message of that attempt, which may be resent during the rest
 }
 
-// countAfter counts the marks after t.
-func countAfter(marks []Micros, t Micros) int {
+// countAfter returns how many of the times, which are in order, lie after t.
+func countAfter(times []Micros, t Micros) int {
 	n := 0
-	for i := len(marks) - 1; i >= 0 && marks[i] > t; i-- {
+	for i := len(times) - 1; i >= 0 && times[i] > t; i-- {
 		n++
 	}
 	return n
 }
 
-func dropBefore(marks []Micros, keep Micros) []Micros {
+// dropBefore returns the times, which are in order, without those before keep. The last one always stays.
+func dropBefore(times []Micros, keep Micros) []Micros {
 	i := 0
-	for i < len(marks)-1 && marks[i] < keep {
+	for i < len(times)-1 && times[i] < keep {
 		i++
 	}
-	return marks[i:]
+	return times[i:]
 }
 
 // Sender decides for one sender. Make it with New.
@@ -139,61 +156,64 @@
 	settings          Settings
 	rng               *rand.Rand
 	now               Micros
-	step              int
-	actions           []Action
+	step              int      // number of the present Step
+	actions           []Action // of the present Step
 	endpoints         map[EndpointID]*endpoint
-	banned            map[EndpointID]bool // taken out by an operator
+	banned            map[EndpointID]bool // by an operator
 	destinations      map[int64]*destination
-	destinationOrder  []*destination // dests, in the order in which they became known
+	destinationOrder  []*destination // the destinations, in the order in which they became known
 	messages          map[string]*message
-	openMessages      []*message // messages not over, in order of arrival
-	attempts          []*attempt
-	slotsInUse        int // slots in use
-	lastSeq           int
+	openMessages      []*message // messages that have not ended, in order of arrival
+	attempts          []*attempt // in flight
+	slotsInUse        int        // calls in flight
+	lastSeq           int        // seq of the last message
 	classHistograms   []histogram
-	tenantUsage       []tenantUsage // by tenant
-	orderKeys         map[string]*keyQueue
-	pruneAbove        [3]int // eps, dests and keys when they are next looked through
-	lastSwept         int    // place in order of the last destination that sweep looked at
-	nextWakeAt        Micros // when something is next to be done
-	timerAt           Micros // when the last timer set goes off; 0 if none is out
-	listRequestAt     Micros // when to ask for the list; never if asked
-	listRetryDelay    Micros
-	listConfirmedAt   Micros // when the list was told last
-	watchOpen         bool   // and what changes since is told at once
-	listSaved         bool   // it is as saved before the start
-	agentUnresponsive bool   // pushed lists: the agent was asked since and said nothing
-	// when an answer first came since that could not be used; 0 if none did
+	tenantUsage       []tenantUsage        // by tenant
+	orderKeys         map[string]*keyQueue // by order key
+	pruneAbove        [3]int               // sizes above which endpoints, destinations and orderKeys are pruned
+	lastSwept         int                  // index in destinationOrder that sweepIdle looked at last
+	nextWakeAt        Micros               // when there is next something to do; never if nothing
+	timerAt           Micros               // when the timer in use runs out; 0 if there is none
+	listRequestAt     Micros               // when to request the list; never if no request is due
+	listRetryDelay    Micros               // delay after the next list request that fails
+	listConfirmedAt   Micros               // when the list was last known to be up to date
+	watchOpen         bool                 // changes of the list arrive as they happen
+	listSaved         bool                 // the list is the one saved before the start
+	agentUnresponsive bool                 // ListPushed: the last request to the agent got no answer at all
+	// When the first answer arrived that could not be used, since the last one that could; 0 if none did.
 	unusableAnswerAt  Micros
-	stopAt            Micros // when this sender stops; 0 if it does not
+	stopAt            Micros // when this sender stops; 0 if no stop is announced
 	logLines          int
-	manySenders       bool            // senders
-	shortestAim       Micros          // the shortest of the classes
-	chanceFailureRate float64         // share of calls that fail by chance, at endpoints that are not out
-	rejectedShare     map[int]float64 // by kind, share of calls turned away
-	newConnsAccepted  map[int]int     // by kind, new connections let in since one was refused
-	meanWorth         float64         // of messages that came
+	manySenders       bool            // more senders than manySendersAbove
+	shortestAim       Micros          // shortest Aim of the classes
+	chanceFailureRate float64         // smoothed share of calls that fail by chance, where nothing is down
+	rejectedShare     map[int]float64 // by kind: smoothed share of calls that were rejected
+	newConnsAccepted  map[int]int     // by kind: new connections accepted since one was rejected
+	meanWorth         float64         // mean of Class.Worth over recent messages
 }
 
-// histogram is a discounted latency histogram.
+// histogram is a latency histogram in which old samples lose weight, see restart_time.go. The median and
+// the 95th percentile are upper edges of bins, over all attempts that were answered; 0 if there is no
+// sample.
 type histogram struct {
-	bins      *binWeights // nil: all nought
-	total     float64
-	cutOffs   float64
+	bins      *binWeights // nil if all weights are 0
+	total     float64     // weight of the attempts that were answered
+	cutOffs   float64     // weight of the attempts that were cut off or are overdue
 	updatedAt Micros
-	tau       Micros // 0: waiting is best
+	tau       Micros // restart time; 0 if waiting is best
 	median    Micros
 	p95       Micros
 }
 
-// binWeights are the weights from the lowest bin in use to the highest. A destination's latencies lie close
-// together, and a sender of many sees few of them.
+// binWeights holds the weights from the lowest to the highest bin in use. A destination's latencies lie
+// close together, and a sender with many destinations has few samples of each, so that most bins are
+// empty.
 type binWeights struct {
-	low     int
+	low     int // index of the first bin in weights
 	weights []float64
 }
 
-// weight is the weight of a bin. The last bin holds what lasted past every edge.
+// weight returns the weight of bin i. The last bin holds the samples past the last edge.
 func (b *binWeights) weight(i int) float64 {
 	if b == nil || i < b.low || i >= b.low+len(b.weights) {
 		return 0
@@ -201,14 +221,14 @@
 	return b.weights[i-b.low]
 }
 
-// discount discounts all weights and gives up those at the ends that come to nothing: less than binLeast
-// changes no sum that is believed.
-func (b *binWeights) discount(f float64) {
+// discount multiplies all weights by f and drops the bins at both ends whose weight is under
+// minBinWeight. A weight so small changes no result that is used.
+func (b *binWeights) discount(factor float64) {
 	if b == nil {
 		return
 	}
 	for i := range b.weights {
-		b.weights[i] *= f
+		b.weights[i] *= factor
 	}
 	for len(b.weights) > 0 && b.weights[0] < minBinWeight {
 		b.weights = b.weights[1:]
@@ -219,7 +239,7 @@
 	}
 }
 
-// addSample adds a sample.
+// addSample adds a sample of weight 1 to bin i.
 func (h *histogram) addSample(i int) {
 	if h.bins == nil {
 		h.bins = &binWeights{}
@@ -229,51 +249,57 @@
 	case len(b.weights) == 0:
 		b.low, b.weights = i, make([]float64, 1)
 	case end-low > len(b.weights):
-		w := make([]float64, end-low)
-		copy(w[b.low-low:], b.weights)
-		b.low, b.weights = low, w
+		weights := make([]float64, end-low)
+		copy(weights[b.low-low:], b.weights)
+		b.low, b.weights = low, weights
 	}
 	b.weights[i-b.low]++
 }
 
+// emit adds an action to those that Step returns.
 func (s *Sender) emit(a Action) { s.actions = append(s.actions, a) }
 
+// wakeBy sees to it that Step is called again at t at the latest.
 func (s *Sender) wakeBy(t Micros) { s.nextWakeAt = min(s.nextWakeAt, t) }
 
+// removeEndpoint takes an endpoint off the list of its destination. Its state is kept for a while, see
+// pruneTables.
 func (s *Sender) removeEndpoint(e *endpoint) {
 	e.state, e.removedAt = Removed, s.now
 	e.destination.endpoints = slices.DeleteFunc(e.destination.endpoints,
 		func(x *endpoint) bool { return x == e })
 }
 
-// removeLeading takes what the leading entries say is gone off the list, each destination in one pass, and
-// returns the entries that follow.
-func (s *Sender) removeLeading(rows []Entry) []Entry {
+// removeLeading applies the leading entries in state Removed, with one pass over the endpoints of each
+// destination, and returns the entries that follow. A single one is left to applyEntry.
+func (s *Sender) removeLeading(entries []Entry) []Entry {
 	n := 0
-	for n < len(rows) && rows[n].State == Removed {
+	for n < len(entries) && entries[n].State == Removed {
 		n++
 	}
 	if n < 2 {
-		return rows
+		return entries
 	}
-	of := map[*destination]bool{}
-	for _, row := range rows[:n] {
-		if e := s.endpoints[row.Endpoint]; e != nil {
-			e.state, e.removedAt, of[e.destination] = Removed, s.now, true
+	affected := map[*destination]bool{}
+	for _, entry := range entries[:n] {
+		if e := s.endpoints[entry.Endpoint]; e != nil {
+			e.state, e.removedAt, affected[e.destination] = Removed, s.now, true
 		}
 	}
-	for d := range of {
+	for d := range affected {
 		d.endpoints = slices.DeleteFunc(d.endpoints, func(e *endpoint) bool { return e.state == Removed })
 	}
-	return rows[n:]
+	return entries[n:]
 }
 
+// newEndpoint returns an endpoint of which nothing is known but its ID and destination.
 func newEndpoint(id EndpointID, d *destination) *endpoint {
 	return &endpoint{id: id, destination: d, limiter: d.limiter,
 		lastSuccessAt: distantPast, lastFailureAt: distantPast, lastSentAt: distantPast,
 		lastHealthyAt: distantPast, lastAnsweredSentAt: distantPast}
 }
 
+// destinationFor returns the destination with this ID and adds it if it is not known.
 func (s *Sender) destinationFor(id int64) *destination {
 	d := s.destinations[id]
 	if d == nil {
@@ -284,7 +310,8 @@
 	return d
 }
 
-// newLimiter is a lane of which nothing is known. Many senders that start at once call at times of their own.
+// newLimiter returns a limiter of which nothing is known. Among many senders it starts with a random part
+// of a token, so that senders that start together do not call at the same time.
 func (s *Sender) newLimiter() *limiter {
 	if !s.manySenders {
 		return &limiter{}
@@ -292,6 +319,7 @@
 	return &limiter{limitLeft: 0.5, refilledAt: s.now, tokens: s.rng.Float64()}
 }
 
+// kindOf returns the kind of a destination, or the zero Kind if the settings do not have it.
 func (s *Sender) kindOf(d *destination) Kind {
 	if d.kind >= 0 && int(d.kind) < len(s.settings.Kinds) {
 		return s.settings.Kinds[d.kind]
@@ -299,23 +327,25 @@
 	return Kind{}
 }
 
-// worthAt is the worth of m if it is delivered at t.
+// worthAt returns what m is worth if it is delivered at t: the full worth of its class within the aim, 0
+// after the deadline, and in between a worth that falls as Settings.WorthHalves says.
 func (s *Sender) worthAt(m *message, t Micros) float64 {
 	if t > m.deadline {
 		return 0
 	}
-	c := m.class
-	late := float64(t - m.receivedAt - c.Aim)
+	class := m.class
+	late := float64(t - m.receivedAt - class.Aim)
 	switch {
 	case late <= 0:
-		return c.Worth
+		return class.Worth
 	case s.settings.WorthHalves:
-		return c.Worth * max(c.LateWorth, math.Exp2(-late/float64(max(c.Aim, 1))))
+		return class.Worth * max(class.LateWorth, math.Exp2(-late/float64(max(class.Aim, 1))))
 	}
-	return c.Worth * (1 - (1-c.LateWorth)*min(1, late/float64(max(c.Deadline-c.Aim, 1))))
+	return class.Worth * (1 - (1-class.LateWorth)*min(1, late/float64(max(class.Deadline-class.Aim, 1))))
 }
 
-// destinationPace is the pace of a destination over all its lanes; 0 if one of them is free.
+// destinationPace returns the pace of a destination in calls a second, over all its limiters; 0 if one of
+// them has no pace.
 func (s *Sender) destinationPace(d *destination) float64 {
 	if !s.kindOf(d).SeparateRoutes {
 		return d.limiter.pace
@@ -330,12 +360,14 @@
 	return sum
 }
 
+// binIndex returns the index of the bin for a latency of t.
 func binIndex(t Micros) int {
 	i, _ := slices.BinarySearch(binEdges[:], t)
 	return i
 }
 
-// applyLoadReport takes the limit that an answer tells.
+// applyLoadReport takes the rate limit, and the share of it that is left, from the load report of an
+// answer.
 func (s *Sender) applyLoadReport(e *endpoint, load []float64) {
 	if i := s.settings.LimitIndex; i >= 0 && i < len(load) && load[i] > 0 && load[i] <= maxRateRPS {
 		e.limiter.limit, e.limiter.limitReported = max(load[i], minRateRPS), true
@@ -345,7 +377,7 @@
 	}
 }
 
-// forgetMessage forgets a message that is over, once nothing of it is out.
+// forgetMessage marks a message as ended, and removes it once it has no attempt in flight.
 func (s *Sender) forgetMessage(m *message) {
 	if !m.ended {
 		m.ended = true
@@ -358,14 +390,14 @@
 		m.destination.messageCount--
 		delete(s.messages, m.id)
 	}
-	if l := m.keyQueue; l != nil {
-		l.messages = slices.DeleteFunc(l.messages, func(x *message) bool { return x == m })
+	if queue := m.keyQueue; queue != nil {
+		queue.messages = slices.DeleteFunc(queue.messages, func(x *message) bool { return x == m })
 		m.keyQueue = nil
 	}
 }
 
-// finishAttempt takes an attempt that has its outcome off the books and reports whether its call is over with
-// it.
+// finishAttempt removes an attempt that has its outcome. It reports whether that was the last attempt of
+// its call, so that the call's slot is free again.
 func (s *Sender) finishAttempt(a *attempt) bool {
 	a.message.attempt, a.message.streaming = nil, false
 	s.attempts = slices.DeleteFunc(s.attempts, func(x *attempt) bool { return x == a })
@@ -373,7 +405,7 @@
 		return false
 	}
 	if a.endpoint.openCall == a.call {
-		a.endpoint.openCall = nil // no step joins it any more
+		a.endpoint.openCall = nil // nothing may join the call any more
 	}
 	s.slotsInUse--
 	a.endpoint.inflight--
@@ -381,13 +413,15 @@
 	return true
 }
 
-// pruneTables keeps what the tables hold in proportion to what is listed and held: endpoints that are gone,
-// destinations without either and order keys at rest are forgotten, each table once it has doubled since.
+// pruneTables bounds the size of the tables to a multiple of what is listed and held. It forgets
+// endpoints that were removed and destinations that have neither endpoints nor messages, both after
+// idleStateAge, and order keys without messages or rest. Each table is looked through only when it has
+// doubled since the last time.
 func (s *Sender) pruneTables() {
-	old := s.now - idleStateAge
+	idleSince := s.now - idleStateAge
 	if len(s.endpoints) > s.pruneAbove[0] {
 		for id, e := range s.endpoints {
-			if e.state == Removed && e.inflight == 0 && max(e.lastSentAt, e.removedAt) < old {
+			if e.state == Removed && e.inflight == 0 && max(e.lastSentAt, e.removedAt) < idleSince {
 				delete(s.endpoints, id)
 			}
 		}
@@ -395,7 +429,7 @@
 	}
 	if len(s.destinations) > s.pruneAbove[1] {
 		s.destinationOrder = slices.DeleteFunc(s.destinationOrder, func(d *destination) bool {
-			idle := len(d.endpoints) == 0 && d.messageCount == 0 && d.limiter.inflight == 0 && d.lastUsedAt < old
+			idle := len(d.endpoints) == 0 && d.messageCount == 0 && d.limiter.inflight == 0 && d.lastUsedAt < idleSince
 			if idle {
 				delete(s.destinations, d.id)
 			}
@@ -404,8 +438,8 @@
 		s.pruneAbove[1] = max(minPruneAbove, 2*len(s.destinations))
 	}
 	if len(s.orderKeys) > s.pruneAbove[2] {
-		for key, l := range s.orderKeys {
-			if len(l.messages) == 0 && l.quietUntil < s.now {
+		for key, queue := range s.orderKeys {
+			if len(queue.messages) == 0 && queue.quietUntil < s.now {
 				delete(s.orderKeys, key)
 			}
 		}
@@ -413,8 +447,8 @@
 	}
 }
 
-// sweepIdle drops what some destinations have learned that were idle for so long that the next message would
-// drop it.
+// sweepIdle drops the histograms of destinations that were idle for longer than idleStateAge, a few
+// destinations with each message. The next message would drop them anyway; this frees the memory earlier.
 func (s *Sender) sweepIdle() {
 	for range min(destinationsPerSweep, len(s.destinationOrder)) {
 		s.lastSwept = (s.lastSwept + 1) % len(s.destinationOrder)
@@ -426,12 +460,13 @@
 	}
 }
 
-// joinsOpenCall says whether a send to e now would travel in a call that this step opens anyway.
+// joinsOpenCall says whether an attempt at e would travel in a call that the present Step has already
+// opened.
 func (s *Sender) joinsOpenCall(e *endpoint) bool {
 	return e.openCall != nil && e.openCall.step == s.step && e.openCall.attempts < s.kindOf(e.destination).Batch
 }
 
-// recordCall notes a call to e for the budget and the pace.
+// recordCall records the time of a call to e, for the budget of the slow start and for the pace.
 func (s *Sender) recordCall(e *endpoint) {
 	l := e.limiter
 	keep := s.now - max(s.settings.FallWindow, Second) - 1
@@ -440,7 +475,7 @@
 	l.peakRate = max(l.peakRate, float64(countAfter(l.sentTimes, s.now-Second)))
 }
 
-// addAttempt books an attempt of m at e.
+// addAttempt adds an attempt of m to the open call of e.
 func (s *Sender) addAttempt(m *message, e *endpoint) *attempt {
 	e.openCall.attempts++
 	e.openCall.pending++
@@ -455,7 +490,7 @@
 	return a
 }
 
-// trialsInFlight is the number of slots that calls to endpoints that seem out hold.
+// trialsInFlight returns the number of attempts in flight at ejected endpoints.
 func (s *Sender) trialsInFlight() (n int) {
 	for _, a := range s.attempts {
 		if a.endpoint.ejected {
@@ -465,11 +500,11 @@
 	return n
 }
 
-// seconds is a span as a number.
+// seconds returns a span in seconds.
 func seconds(t Micros) float64 { return float64(t) / float64(Second) }
 
-// toMicros is a number of microseconds as a span. Figures that make no sense come to a day at most: more
-// might overflow.
+// toMicros returns a number of microseconds as a span from 0 to maxWait. More, or NaN, counts as maxWait,
+// since it might overflow.
 func toMicros(x float64) Micros {
 	if !(x <= float64(maxWait)) {
 		return maxWait
@@ -477,46 +512,47 @@
 	return Micros(max(x, 0))
 }
 
-// acceptMessage takes a new message into the books.
-func (s *Sender) acceptMessage(c NewMessage) {
-	if s.messages[c.ID] != nil {
+// acceptMessage adds a new message. One with a known ID is ignored, one of an unknown class is refused.
+func (s *Sender) acceptMessage(arrival NewMessage) {
+	if s.messages[arrival.ID] != nil {
 		return
 	}
-	if c.Class < 0 || c.Class >= len(s.settings.Classes) {
-		s.emit(Refuse{ID: c.ID})
+	if arrival.Class < 0 || arrival.Class >= len(s.settings.Classes) {
+		s.emit(Refuse{ID: arrival.ID})
 		return
 	}
 	s.pruneTables()
 	s.sweepIdle()
-	class := &s.settings.Classes[c.Class]
+	class := &s.settings.Classes[arrival.Class]
 	s.lastSeq++
-	m := &message{id: c.ID, class: class, classIndex: c.Class, destination: s.destinationFor(c.Destination),
-		seq: s.lastSeq, arrivalStep: s.step,
-		deadline: s.now + c.TimeLeft, listWaitUntil: s.now + c.TimeLeft/2,
-		receivedAt: min(s.now, s.now+c.TimeLeft-class.Deadline)}
+	m := &message{id: arrival.ID, class: class, classIndex: arrival.Class,
+		destination: s.destinationFor(arrival.Destination),
+		seq:         s.lastSeq, arrivalStep: s.step,
+		deadline: s.now + arrival.TimeLeft, listWaitUntil: s.now + arrival.TimeLeft/2,
+		receivedAt: min(s.now, s.now+arrival.TimeLeft-class.Deadline)}
 	s.dropIfIdle(m.destination)
 	m.destination.arrivals++
 	s.meanWorth += (class.Worth - s.meanWorth) / float64(min(s.lastSeq, 50))
-	m.worthShare = s.tenantWorthShare(c.Tenant)
+	m.worthShare = s.tenantWorthShare(arrival.Tenant)
 	s.messages[m.id] = m
 	m.destination.messageCount++
 	s.openMessages = append(s.openMessages, m)
-	if class.KeepOrder && c.Key != "" {
-		line := s.orderKeys[c.Key]
-		if line == nil {
-			line = &keyQueue{}
-			s.orderKeys[c.Key] = line
+	if class.KeepOrder && arrival.Key != "" {
+		queue := s.orderKeys[arrival.Key]
+		if queue == nil {
+			queue = &keyQueue{}
+			s.orderKeys[arrival.Key] = queue
 		}
-		line.messages = append(line.messages, m)
-		m.keyQueue = line
+		queue.messages = append(queue.messages, m)
+		m.keyQueue = queue
 	}
-	s.resumeMessage(m, c.Prior)
+	s.resumeMessage(m, arrival.Prior)
 }
 
-// removeUnlisted takes off the list what is not among the entries.
-func (s *Sender) removeUnlisted(rows []Entry) {
-	for _, row := range rows {
-		if e := s.endpoints[row.Endpoint]; e != nil {
+// removeUnlisted removes all endpoints that are not among the entries of a whole list.
+func (s *Sender) removeUnlisted(entries []Entry) {
+	for _, entry := range entries {
+		if e := s.endpoints[entry.Endpoint]; e != nil {
 			e.listed = true
 		}
 	}
@@ -528,14 +564,14 @@
 			return !e.listed
 		})
 	}
-	for _, row := range rows {
-		if e := s.endpoints[row.Endpoint]; e != nil {
+	for _, entry := range entries {
+		if e := s.endpoints[entry.Endpoint]; e != nil {
 			e.listed = false
 		}
 	}
 }
 
-// openShare is the share of the hold that is taken.
+// openShare returns the share of Settings.MaxOpen that the messages held take up; 0 if there is no limit.
 func (s *Sender) openShare() float64 {
 	if s.settings.MaxOpen == 0 {
 		return 0
@@ -543,24 +579,24 @@
 	return float64(len(s.openMessages)) / float64(s.settings.MaxOpen)
 }
 
-// log writes a line for the people on call, within the cap.
+// log emits a log line, unless maxLogLines have been emitted.
 func (s *Sender) log(format string, args ...any) {
 	if s.logLines++; s.logLines <= maxLogLines {
 		s.emit(Log{fmt.Sprintf(format, args...)})
 	}
 }
 
-// hasHealthySibling says whether a sibling of e seems well.
+// hasHealthySibling says whether another endpoint of e's destination is ready and not ejected or banned.
 func (s *Sender) hasHealthySibling(e *endpoint) bool {
-	for _, x := range e.destination.endpoints {
-		if x != e && !x.ejected && x.state == Ready && !s.banned[x.id] {
+	for _, sibling := range e.destination.endpoints {
+		if sibling != e && !sibling.ejected && sibling.state == Ready && !s.banned[sibling.id] {
 			return true
 		}
 	}
 	return false
 }
 
-// cancelAttempt calls an attempt off, once.
+// cancelAttempt cancels an attempt, once, where cancelling is allowed and its answer does not stream yet.
 func (s *Sender) cancelAttempt(a *attempt) {
 	if !a.cancelled && s.settings.MayCancel && !a.message.streaming {
 		a.cancelled = true
@@ -568,7 +604,7 @@
 	}
 }
 
-// handleEvent hands an event to the section that it concerns.
+// handleEvent applies one event to the state. A HealthResult is ignored.
 func (s *Sender) handleEvent(ev Event) {
 	switch ev := ev.(type) {
 	case ListUpdate:
@@ -603,7 +639,8 @@
 	}
 }
 
-// tenantUsage is the discounted count of a tenant's messages.
+// tenantUsage is the number of a tenant's messages, where old ones lose weight with a half-life of
+// quotaHalfLife.
 type tenantUsage struct {
 	messages  float64
 	updatedAt Micros
--- a/logic/table_rows.go
+++ b/logic/table_rows.go
@@ -1,5 +1,10 @@
 package logic
 
+// The tables of destinations and endpoints as rows, one for each of them, so that a large state can be
+// transferred in bounded memory. A row holds its fields in a fixed order and ends with the last one that
+// differs from its value in a new destination or endpoint. What follows the known fields is skipped, so
+// that a later version may add some.
+
 import (
 	"encoding/binary"
 	"errors"
@@ -8,62 +13,63 @@
 	"math/bits"
 )
 
-// The tables of a Sender as rows, one for each destination and endpoint, for a state transfer in bounded memory. A
-// row ends with its last field that differs from what a new destination or endpoint has; what follows the fields that
-// are known here is skipped, so that a later version may add some.
-
 // errInvalidRow says that a row cannot be read.
-var errInvalidRow = errors.New("a row of the state that makes no sense")
+var errInvalidRow = errors.New("invalid row in the transferred state")
 
 const (
 	rowDestination = 'd'
-	rowEndpoint    = 'e' // follows its destination's
+	rowEndpoint    = 'e' // comes after the row of its destination
 )
 
-// rowCodec writes or reads the fields of a row: each method takes a field's value from where its argument points, or
-// puts it there. A field that is not in the row stays as it is.
+// rowCodec writes or reads the fields of a row. Each method writes the value that its argument points to,
+// or stores the value that it reads there. A field that is not in the row keeps its value.
 type rowCodec struct {
-	row        []byte
+	row        []byte // decoding: what has not been read yet
 	decoding   bool
-	invalid    bool
-	keepLength int    // length of the row up to the last field that tells something
-	now        Micros // times are told against this
+	invalid    bool   // decoding: the row cannot be read
+	keepLength int    // encoding: length up to the last field that differs from its usual value
+	now        Micros // points in time are written relative to this
 }
 
-// field is one of them; usual is what it is in a new destination or endpoint.
-func (c *rowCodec) field(x, usual uint64) uint64 {
+// field writes or reads one field. The usual value is that of a new destination or endpoint.
+func (c *rowCodec) field(value, usual uint64) uint64 {
 	if !c.decoding {
-		c.row = binary.AppendUvarint(c.row, x)
-		if x != usual {
+		c.row = binary.AppendUvarint(c.row, value)
+		if value != usual {
 			c.keepLength = len(c.row)
 		}
-		return x
+		return value
 	}
 	if len(c.row) == 0 {
-		return x
+		return value
 	}
 	v, n := binary.Uvarint(c.row)
 	if n <= 0 {
 		c.invalid, c.row = true, nil
-		return x
+		return value
 	}
 	c.row = c.row[n:]
 	return v
 }
 
+// zigzagEncode maps signed integers to unsigned ones so that values near 0 stay small.
 func zigzagEncode(x int64) uint64 { return uint64(x<<1) ^ uint64(x>>63) }
+
+// zigzagDecode is the inverse of zigzagEncode.
 func zigzagDecode(x uint64) int64 { return int64(x>>1) ^ -int64(x&1) }
 
-// integerField is a field that is a whole number.
+// integerField writes or reads an integer; its usual value is 0.
 func integerField[T ~int | ~int32 | ~int64 | ~uint32 | ~uint16 | ~uint8](c *rowCodec, x *T) {
 	*x = T(zigzagDecode(c.field(zigzagEncode(int64(*x)), 0)))
 }
 
-// timestamp is a field that is a time; in a new endpoint it is longAgo or nought.
+// timestamp writes or reads a point in time; its usual value is distantPast or 0.
 func (c *rowCodec) timestamp(x *Micros, usual Micros) {
 	c.timestampField(x, c.encodeTime(usual))
 }
 
+// encodeTime returns the code of a point in time: 0 for distantPast, 1 for 0, and from 2 on for its
+// distance from now.
 func (c *rowCodec) encodeTime(t Micros) uint64 {
 	switch t {
 	case distantPast:
@@ -74,6 +80,7 @@
 	return 2 + zigzagEncode(int64(min(max(t-c.now, -1<<61), 1<<61)))
 }
 
+// timestampField is timestamp with the usual value as a code of encodeTime.
 func (c *rowCodec) timestampField(x *Micros, usual uint64) {
 	switch v := c.field(c.encodeTime(*x), usual); v {
 	case 0:
@@ -85,12 +92,14 @@
 	}
 }
 
-// float is a field with a fraction. Its bits are turned around, since those at the end are mostly nought.
+// float writes or reads a floating-point number. Its bytes are reversed, since the last ones are mostly 0
+// and this makes the varint short.
 func (c *rowCodec) float(x *float64) {
 	v := c.field(bits.ReverseBytes64(math.Float64bits(*x)), 0)
 	*x = math.Float64frombits(bits.ReverseBytes64(v))
 }
 
+// flags writes or reads booleans as one field, one bit each; usually all are false.
 func (c *rowCodec) flags(xs ...*bool) {
 	v := uint64(0)
 	for i, x := range xs {
@@ -104,7 +113,7 @@
 	}
 }
 
-// count is the length of what follows; more than the row can hold makes no sense.
+// count writes or reads the number of fields that follow. It is invalid if it exceeds the bytes left.
 func (c *rowCodec) count(n int) int {
 	n = int(c.field(uint64(n), 0))
 	if c.decoding && (n < 0 || n > len(c.row)) {
@@ -114,16 +123,18 @@
 	return n
 }
 
+// timestamps writes or reads a list of points in time, after their number.
 func (c *rowCodec) timestamps(xs *[]Micros) {
 	n := c.count(len(*xs))
 	if c.decoding && n > 0 {
 		*xs = make([]Micros, n)
 	}
 	for i := range *xs {
-		c.timestampField(&(*xs)[i], math.MaxUint64) // none is usual: each is in the row
+		c.timestampField(&(*xs)[i], math.MaxUint64) // no value is usual, so that each is in the row
 	}
 }
 
+// histogram writes or reads the fields of a histogram.
 func (c *rowCodec) histogram(h *histogram) {
 	b := h.bins
 	if b == nil {
@@ -144,11 +155,12 @@
 	c.float(&h.total)
 	c.float(&h.cutOffs)
 	c.timestamp(&h.updatedAt, 0)
-	if c.decoding && h.total >= minSamples { // what is read of it before the next sample
+	if c.decoding && h.total >= minSamples { // the percentiles are used before the next sample
 		h.recompute()
 	}
 }
 
+// limiter writes or reads the fields of a limiter.
 func (c *rowCodec) limiter(l *limiter) {
 	c.float(&l.limit)
 	c.float(&l.limitLeft)
@@ -165,6 +177,7 @@
 	c.timestamp(&l.firstRejectedAt, 0)
 }
 
+// destination writes or reads the fields of a destination.
 func (c *rowCodec) destination(d *destination) {
 	integerField(c, &d.kind)
 	integerField(c, &d.nextEndpoint)
@@ -175,6 +188,7 @@
 	c.histogram(&d.histogram)
 }
 
+// endpoint writes or reads the fields of an endpoint, with those of its own limiter if it has one.
 func (c *rowCodec) endpoint(e *endpoint) {
 	integerField(c, &e.zone)
 	integerField(c, &e.state)
@@ -200,6 +214,7 @@
 	}
 }
 
+// boolToUint returns 1 for true and 0 for false.
 func boolToUint(x bool) uint64 {
 	if x {
 		return 1
@@ -207,7 +222,8 @@
 	return 0
 }
 
-// TableRows yields the tables of destinations and endpoints, row by row. A row is good until the next.
+// TableRows yields the destinations and endpoints, row by row. Listed endpoints follow their destination,
+// in list order; removed ones come at the end. A row is valid until the next one.
 func (s *Sender) TableRows() iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		c := &rowCodec{now: s.now}
@@ -242,7 +258,7 @@
 	}
 }
 
-// decodeRow puts a row into the tables. Rows of a kind that is not known are skipped.
+// decodeRow adds the destination or endpoint of a row. Rows of an unknown kind are skipped.
 func (s *Sender) decodeRow(row []byte) error {
 	if len(row) == 0 {
 		return errInvalidRow
@@ -265,13 +281,13 @@
 		s.destinations[id] = d
 		s.destinationOrder = append(s.destinationOrder, d)
 	case rowEndpoint:
-		d := s.destinationFor(id) // one that is gone may have outlived its destination
-		ep, n := binary.Uvarint(c.row)
-		if n <= 0 || s.endpoints[EndpointID(ep)] != nil {
+		d := s.destinationFor(id) // a removed endpoint may outlive its destination
+		endpointID, n := binary.Uvarint(c.row)
+		if n <= 0 || s.endpoints[EndpointID(endpointID)] != nil {
 			return errInvalidRow
 		}
 		c.row = c.row[n:]
-		e := newEndpoint(EndpointID(ep), d)
+		e := newEndpoint(EndpointID(endpointID), d)
 		c.endpoint(e)
 		if e.state > Removed {
 			return errInvalidRow
@@ -288,25 +304,26 @@
 	return nil
 }
 
-// SaveWithoutTables returns what Rows does not yield. Together they are the state, as Save returns it.
+// SaveWithoutTables returns the state without what TableRows yields. Both together are what Save returns.
 func (s *Sender) SaveWithoutTables() Saved {
-	x := s.save(false)
-	x.Sizes = []int{len(s.destinations), len(s.endpoints)}
-	return x
+	saved := s.save(false)
+	saved.Sizes = []int{len(s.destinations), len(s.endpoints)}
+	return saved
 }
 
-// ResumeFromRows is Resume for a state in rows.
-func ResumeFromRows(set Settings, seed uint64, x Saved, rows iter.Seq2[[]byte, error]) (*Sender, error) {
-	s, err := New(set, seed)
+// ResumeFromRows is Resume for a state from SaveWithoutTables and TableRows.
+func ResumeFromRows(settings Settings, seed uint64, saved Saved,
+	rows iter.Seq2[[]byte, error]) (*Sender, error) {
+	s, err := New(settings, seed)
 	if err != nil {
 		return nil, err
 	}
-	s.now = x.Now
-	if len(x.Sizes) == 2 {
-		room := func(n int) int { return min(max(n, 0), 1<<20) }
-		s.destinations = make(map[int64]*destination, room(x.Sizes[0]))
-		s.destinationOrder = make([]*destination, 0, room(x.Sizes[0]))
-		s.endpoints = make(map[EndpointID]*endpoint, room(x.Sizes[1]))
+	s.now = saved.Now
+	if len(saved.Sizes) == 2 {
+		sizeHint := func(n int) int { return min(max(n, 0), 1<<20) }
+		s.destinations = make(map[int64]*destination, sizeHint(saved.Sizes[0]))
+		s.destinationOrder = make([]*destination, 0, sizeHint(saved.Sizes[0]))
+		s.endpoints = make(map[EndpointID]*endpoint, sizeHint(saved.Sizes[1]))
 	}
 	for row, err := range rows {
 		if err != nil {
@@ -316,6 +333,6 @@
 			return nil, err
 		}
 	}
-	s.resumeWithoutTables(x)
+	s.resumeWithoutTables(saved)
 	return s, nil
 }
--- a/logic/timer.go
+++ b/logic/timer.go
@@ -1,12 +1,16 @@
 package logic
 
-// Timers, and state that ages out.
+// The timer for the next Step, and state that is dropped after a time without traffic. At most one timer
+// matters at a time: the earliest time that any decision has asked for by wakeBy.
 
 const (
-	idleStateAge = 4 * histogramHalfLife // ours: state of a destination without traffic is dropped after this
+	// The state of a destination without traffic is dropped after this time: its samples have lost their
+	// weight.
+	idleStateAge = 4 * histogramHalfLife
 )
 
-// dropIfIdle drops the state of a destination that was long idle, once a message for it comes.
+// dropIfIdle drops the histogram and the pace of a destination that was idle for longer than idleStateAge
+// when a message for it arrives.
 func (s *Sender) dropIfIdle(d *destination) {
 	if s.now-d.lastUsedAt > idleStateAge && d.limiter.inflight == 0 {
 		d.histogram, d.limiter.pace = histogram{}, 0
@@ -14,7 +18,7 @@
 	d.lastUsedAt = s.now
 }
 
-// armTimer sets a timer for the next thing to be done, unless one that goes off by then is out.
+// armTimer sets a timer for the next thing to do, unless one that runs out before is already set.
 func (s *Sender) armTimer() {
 	if s.nextWakeAt == never {
 		return
--- a/logic/types.go
+++ b/logic/types.go
@@ -1,202 +1,225 @@
-// Package logic decides for one sender that hands messages to destinations it
-// does not control: what to send where and when, what to call off, and when a
-// message ends undelivered.
+// Package logic holds the decision logic of one message sender. The sender delivers messages by calls to
+// endpoints that it does not control. The package decides which message goes to which endpoint and when,
+// which attempts to cancel, and when a message ends undelivered.
 //
-// A caller makes a [Sender] with [New] and hands it what happened, in order,
-// through [Sender.Step]; the reply is the list of things to do, in order. The
-// module has no clock, no I/O, no goroutines and no globals. A Sender is not
-// safe for concurrent use: one goroutine at a time may call Step.
+// A caller makes a [Sender] with [New] and passes what happened, in order, to [Sender.Step], which
+// returns the actions to take, in order. The package has no clock, does no I/O, starts no goroutines and
+// keeps no global state. A Sender is not safe for concurrent use: only one goroutine at a time may call
+// Step.
 //
-// The caller owes: events in the order in which they happened; a time that does
-// not go back (an earlier time is read as the last one); exactly one [Reply] for
-// each [CallOut] and one [HealthResult] for each [Probe]; and a Step with a
-// [Due] when a [SetTimer] has run out (a late one only makes the module late).
+// The caller guarantees:
+//   - Events arrive in the order in which they happened.
+//   - Time does not go back; a time before the last one counts as the last one.
+//   - Each [CallOut] is answered by exactly one [AttemptResult], each [Probe] by exactly one
+//     [HealthResult].
+//   - When a [SetTimer] has run out, Step is called with a [TimerExpired]. If that call is late, the
+//     Sender only decides late.
 //
-// The module promises: each message ends exactly once and in time (by the Reply
-// that carries NoMore, a [Refuse] or a [Fail]), nothing is sent for it after
-// that, and the six rules of the design page hold for this sender alone. Events
-// for messages, endpoints or timers that it does not know do no harm. The same
-// events give the same actions.
+// The Sender guarantees:
+//   - Each message ends exactly once and in time, by the AttemptResult with MessageEnded, by a [Refuse]
+//     or by a [Fail]. Nothing is sent for it after that.
+//   - Nothing goes to an endpoint that is draining, removed or banned, as far as this sender knows.
+//   - Nothing goes to an endpoint before the retry-after time that it named.
+//   - A message has one attempt at a time and at most Settings.MaxTries attempts. It is repeated only as
+//     its [Effect] allows.
+//   - Messages of one order key are sent in order, and a key rests after an attempt whose end is not
+//     certain.
+//   - No more than Settings.Slots calls are in flight.
+//   - What goes to a destination after an outage stays within this sender's share of what would overload
+//     it.
+//   - The same events with the same seed give the same actions.
+//
+// Events for unknown messages, endpoints or timers are ignored.
 package logic
 
-// Micros is a time or a span in whole microseconds. The clock may start
-// anywhere.
+// Micros is a point in time or a span in whole microseconds. The zero point of the caller's clock is
+// arbitrary.
 type Micros int64
 
 // Second is one second.
 const Second Micros = 1_000_000
 
-// Effect tells what a repeat of a message does.
+// Effect says what a repeated delivery of a message does at the destination.
 type Effect int
 
-// The three kinds of effect.
+// The effects.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // the destination drops repeats within a window
-	Unsafe               // must never take effect twice
+	Safe   Effect = iota // may be repeated without limit
+	Keyed                // the destination drops repeats within Class.Window
+	Unsafe               // must not take effect twice: not repeated once an attempt may have run
 )
 
-// Class describes one class of message.
+// Class describes one class of messages.
 type Class struct {
 	Name      string
-	Aim       Micros // delivered within this, it earns its full worth
-	Deadline  Micros // how long it may be delivered at all
-	Worth     float64
-	LateWorth float64 // share of the worth that is left at the deadline
+	Aim       Micros  // delivered within this time, a message earns its full worth
+	Deadline  Micros  // how long a message may be delivered at all
+	Worth     float64 // what a message delivered within Aim is worth, relative to other classes
+	LateWorth float64 // share of Worth that is left at the deadline
 	Effect    Effect
-	ByZone    bool   // keyed: only endpoints of one zone drop repeats of each other
-	Window    Micros // keyed: how long repeats are dropped, from the first send that may have run
-	KeepOrder bool   // messages of one key go one at a time, in order of arrival
+	ByZone    bool   // Keyed: only endpoints of one zone drop repeats of each other
+	Window    Micros // Keyed: how long repeats are dropped, from the first send that may have run
+	KeepOrder bool   // messages with the same order key are sent one at a time, in order of arrival
 }
 
 // Tenant is one customer with a share of the service.
 type Tenant struct {
 	Name     string
-	QuotaRPS float64 // messages a second inside its share, over all senders
+	QuotaRPS float64 // messages a second inside its share, over all senders; 0 for no quota
 }
 
-// WeightsMode tells what Entry.Nominal holds.
+// WeightsMode says what Entry.Nominal holds.
 type WeightsMode int
 
-// The kinds of weights.
+// The modes.
 const (
 	WeightsOff     WeightsMode = iota // nothing
-	WeightsNominal                    // the destination's rate in calls a second, all senders together
+	WeightsNominal                    // the destination's rate limit in calls a second, all senders together
 	WeightsRough                      // the same, up to half too high or too low
 )
 
-// Settings are the facts that a deployment states at start.
+// Settings describe a deployment. They do not change while a Sender lives.
 type Settings struct {
-	Senders       int // senders that share the destinations, this one counted
-	Zone          int // this sender's zone
-	Zones         int
+	Senders       int // senders that share the destinations, this one included
+	Zone          int // this sender's zone, 0 to Zones-1
+	Zones         int // zones of the deployment; 0 counts as 1
 	Classes       []Class
 	Tenants       []Tenant // may be empty
 	Kinds         []Kind
-	Slots         int // calls out at once
-	MaxOpen       int // messages held at once; 0 for no limit
-	MaxTries      int // attempts for a message; 0 for no limit
-	Tick          Micros
-	ListOnRequest bool // the endpoint list comes only when asked for
-	ListPushed    bool // an agent on this machine has the list, and what it has counts as known to the sender
-	MayProbe      bool
-	MayCancel     bool
-	AdviseRetry   bool // clients are given advice on when to come again
-	WorthHalves   bool // worth falls by half with each aim after the first; else evenly
-	Weights       WeightsMode
-
-	ConnIdle  Micros  // idle connections close after this
+	Slots         int    // calls in flight at most
+	MaxOpen       int    // messages held at once; 0 for no limit
+	MaxTries      int    // attempts for one message; 0 for no limit
+	Tick          Micros // granularity of time: no timer is set for less, and deadlines keep a margin of it
+	ListOnRequest bool   // the endpoint list arrives only after a Listen
+	// An agent on this machine keeps the list and passes it on. What the agent has received counts as known to
+	// the sender.
+	ListPushed  bool
+	MayProbe    bool // Probe is allowed
+	MayCancel   bool // Cancel is allowed
+	AdviseRetry bool // Refuse tells the client when to retry
+	WorthHalves bool // past Aim, worth halves with each further Aim; else it falls linearly to the deadline
+	Weights     WeightsMode
+
+	ConnIdle  Micros  // idle connections are closed after this time
 	ConnCalls int     // calls that one connection carries at once
-	ConnPrice float64 // points taken off for a new connection with each message
-
-	MaxRetryAfter  Micros
-	OverShareWorth float64 // part of its worth that a message over its tenant's quota keeps
-
-	DrainGrace   Micros
-	MaxListAge   Micros  // nothing new is sent on a list that was told longer ago; 0 for no such bound
-	FallMultiple float64 // sent more than this many times its capacity
-	FallWindow   Micros  // for this long, a cold destination falls over
-	ColdFrom     float64 // share of its capacity that a destination has after an outage
-	WarmAfter    Micros  // and when it has all of it again
-	KeyQuiet     Micros  // rest of a key after an attempt whose end is not sure
-
-	LimitLeftIndex int // place of the share of the limit that is left in Reply.Load; -1 if none
-	LimitIndex     int // place of the limit in calls a second in Reply.Load; -1 if none
+	ConnPrice float64 // points that it costs if each message opens a new connection
+
+	MaxRetryAfter  Micros  // the longest retry delay that clients observe
+	OverShareWorth float64 // share of its worth that a message over its tenant's quota keeps, 0 to 1
+
+	// How long after the notice that an endpoint drains or is removed calls to it are still allowed.
+	DrainGrace Micros
+	MaxListAge Micros // nothing is sent on a list that was confirmed longer ago than this; 0 for no such limit
+
+	// After an outage a destination recovers: its capacity rises linearly from ColdFrom times its whole capacity
+	// to all of it, over WarmAfter. It is overloaded by more than FallMultiple times its present capacity during
+	// FallWindow.
+	FallMultiple float64
+	FallWindow   Micros
+	ColdFrom     float64
+	WarmAfter    Micros
+	KeyQuiet     Micros // how long an order key rests after an attempt whose end is not certain
+
+	LimitLeftIndex int // index in AttemptResult.Load of the share of the rate limit that is left; -1 if none
+	LimitIndex     int // index in AttemptResult.Load of the rate limit in calls a second; -1 if none
 }
 
 // Kind is a kind of destination.
 type Kind struct {
-	Name           string
-	SeparateRoutes bool // endpoints are routes apart, each with its own limit, pace and outages
-	Batch          int  // messages in one call at most
+	Name string
+	// Each endpoint is a route of its own: it has its own rate limit, pace and outages. Otherwise the endpoints
+	// of a destination share them.
+	SeparateRoutes bool
+	Batch          int // messages in one call at most; 0 and 1 both mean one
 }
 
-// EndpointID names an endpoint; it tells nothing else.
+// EndpointID identifies an endpoint. Its value has no further meaning.
 type EndpointID uint32
 
-// EndpointState is what the list says of an endpoint. It says nothing of health.
+// EndpointState is the state of an endpoint on the endpoint list. It says nothing about the endpoint's
+// health.
 type EndpointState uint8
 
-// The states of a listed endpoint.
+// The states.
 const (
-	Ready EndpointState = iota
-	Draining
-	Removed
+	Ready    EndpointState = iota // may be sent to
+	Draining                      // gets no new calls; running ones finish
+	Removed                       // no longer on the list
 )
 
-// Entry is one line of the endpoint list.
+// Entry is one entry of the endpoint list.
 type Entry struct {
 	Endpoint    EndpointID
 	State       EndpointState
 	Zone        int
-	Kind        int
+	Kind        int // index in Settings.Kinds
 	Destination int64
-	Nominal     float64
+	Nominal     float64 // calls a second, read as Settings.Weights says; 0 if not known
 }
 
 // Event is something that happened: one of the types below.
 type Event interface{ isEvent() }
 
-// ListForm tells how an Endpoints event is to be read.
+// ListForm says how a ListUpdate is to be read.
 type ListForm int
 
-// The forms of list news.
+// The forms of a list update.
 const (
 	ListDelta          ListForm = iota // changes only
-	ListFull                           // the whole list; what is not in it is gone
-	ListCached                         // the whole list as last saved, maybe old
-	ListRequestFailed                  // a request for the list failed; the old one stands
-	ListAnswerBegun                    // an answer has begun to come, which takes its time
-	ListAnswerUnusable                 // an answer came that can't be used; it is asked for again
-	// no news: the list is as it was, and what changes is told at once from now on
+	ListFull                           // the whole list; endpoints that are not on it are removed
+	ListCached                         // the whole list as saved before the start; it may be out of date
+	ListRequestFailed                  // a request for the list failed, or a watch ended; the list stays in use
+	ListAnswerBegun                    // an answer has begun to arrive and will take some time
+	ListAnswerUnusable                 // an answer arrived that cannot be used; the list is requested again
+	// The list is as it was, and a watch is open: changes arrive as they happen.
 	ListWatchOpen
 )
 
-// ListUpdate is news of the endpoint list.
+// ListUpdate is an update of the endpoint list, or the result of a request for it.
 type ListUpdate struct {
 	Form         ListForm
 	Entries      []Entry
-	Stale        bool // ListCached: changes may have been missed; news of them is on its way
-	Unresponsive bool // ListFailed: nobody answered
+	Stale        bool // ListCached: changes may have been missed; an update with them is on its way
+	Unresponsive bool // ListRequestFailed: there was no answer at all
 }
 
-// NewMessage is a new message, or one that this sender had before a restart.
+// NewMessage is a new message, or one that this sender held before a restart.
 type NewMessage struct {
 	ID          string
 	TimeLeft    Micros // how long it may still be delivered
 	Key         string // order key; empty if none
 	Destination int64
-	Tenant      int // -1 if none
-	Class       int
+	Tenant      int // index in Settings.Tenants; -1 if none
+	Class       int // index in Settings.Classes
 	Prior       PriorAttempts
 }
 
-// PriorAttempts is what became of a message before a restart; the zero value is that of a
-// new message.
+// PriorAttempts says what happened to a message before a restart. The zero value is that of a new
+// message.
 type PriorAttempts struct {
-	Recovered      bool   // a restart found it: it was taken on before
+	Recovered      bool   // accepted before a restart and found in the journal after it
 	Tries          int    // attempts made
-	MayHaveRun     bool   // one of them may have run
-	SinceFirstSend Micros // time since the first that may have run was sent
-	Zone           int    // zone of its endpoint
+	MayHaveRun     bool   // at least one of them may have run
+	SinceFirstSend Micros // time since the first attempt that may have run was sent
+	Zone           int    // zone of that attempt's endpoint
 }
 
-// Stopping says that the sender stops within Left: what cannot finish by then is
-// not to be begun.
+// Stopping says that the sender stops in TimeLeft. Calls that cannot finish by then are not started.
 type Stopping struct{ TimeLeft Micros }
 
-// Ban says that an operator has taken an endpoint out: nothing is sent there until the PutBack, whatever
+// Ban says that an operator has taken an endpoint out. Nothing is sent to it until the Unban, whatever
 // the list says. The endpoint need not be listed.
 type Ban struct{ Endpoint EndpointID }
 
-// Unban ends that. The endpoint counts as cold from now on: it may have been restarted meanwhile.
+// Unban ends a Ban. The endpoint then counts as recovering, as it may have been restarted meanwhile.
 type Unban struct{ Endpoint EndpointID }
 
-// DiscoveryMoved says that discovery has another address: what made calls for the list fail may be over.
+// DiscoveryMoved says that discovery has another address. The reason for which list requests failed may
+// be gone.
 type DiscoveryMoved struct{}
 
-// StreamStarted says that a stream has begun to flow: nothing more can be done for
-// the message.
+// StreamStarted says that the answer to an attempt has begun to stream to the client. The attempt can
+// neither be cancelled nor resent from then on.
 type StreamStarted struct {
 	ID      string
 	Attempt int
@@ -205,24 +228,24 @@
 // Outcome says how an attempt ended.
 type Outcome int
 
-// Outcomes. Full, RefusedConn and Moot prove that the attempt never ran.
+// The outcomes. Rejected, ConnRefused and NotSent prove that the attempt did not run.
 const (
 	Completed   Outcome = iota // delivered
 	Errored                    // answered with an error
-	Rejected                   // turned away unseen
-	TimedOut                   // no answer in the time given
+	Rejected                   // rejected by the endpoint before it looked at the message
+	TimedOut                   // no answer in CallOut.GiveUp
 	ConnRefused                // no connection could be made
 	ConnBroken                 // the connection broke
-	Cancelled                  // called off
-	NotSent                    // never sent: no slot, message over, or too many attempts
+	Cancelled                  // ended by a Cancel
+	NotSent                    // never sent: no slot free, message over, or too many attempts
 )
 
-// outcomeNames are the outcomes as logs show them.
+// outcomeNames are the names of the outcomes in logs.
 var outcomeNames = [...]string{Completed: "completed", Errored: "errored", Rejected: "full",
 	TimedOut:    "overdue",
 	ConnRefused: "refused_conn", ConnBroken: "severed", Cancelled: "recalled", NotSent: "moot"}
 
-// String names the outcome.
+// String returns the outcome's name in logs.
 func (o Outcome) String() string {
 	if o >= 0 && int(o) < len(outcomeNames) {
 		return outcomeNames[o]
@@ -230,25 +253,25 @@
 	return "unknown"
 }
 
-// AttemptResult is the one outcome of an attempt.
+// AttemptResult is the result of an attempt. There is exactly one for each CallOut.
 type AttemptResult struct {
 	ID           string
-	MessageEnded bool // the message is over
+	MessageEnded bool // the message has ended with this attempt
 	Endpoint     EndpointID
-	Attempt      int
+	Attempt      int // 0 for the message's first attempt
 	Outcome      Outcome
-	Duration     Micros
-	RetryAfter   Micros // Full: the wait that was told; 0 if none
-	Load         []float64
+	Duration     Micros    // time from the send to the outcome
+	RetryAfter   Micros    // Rejected: how long the endpoint asks to wait; 0 if it did not say
+	Load         []float64 // load report of the endpoint, see Settings.LimitIndex; empty if none
 }
 
-// ClientGone says that nobody wants the message any more.
+// ClientGone says that the client has left: the message is not needed any more.
 type ClientGone struct{ ID string }
 
 // TimerExpired says that a timer has run out.
 type TimerExpired struct{ Token uint64 }
 
-// HealthResult is the one outcome of a probe.
+// HealthResult is the result of a Probe. The Sender does not act on it.
 type HealthResult struct {
 	Endpoint EndpointID
 	Outcome  Outcome
@@ -267,49 +290,49 @@
 func (Unban) isEvent()          {}
 func (DiscoveryMoved) isEvent() {}
 
-// Action is something to do: one of the types below.
+// Action is something for the caller to do: one of the types below.
 type Action interface{ isAction() }
 
-// CallOut sends the message to an endpoint. The first CallOut of a message is
-// attempt 0, the next attempt 1, and so on. CallOuts of one Step to one
-// endpoint travel as one call as far as its kind's Batch allows.
+// CallOut starts an attempt: it sends the message to an endpoint. The attempts of a message are numbered
+// from 0 in order of their CallOuts. CallOuts of one Step to one endpoint travel as one call, up to the
+// Batch of its kind.
 type CallOut struct {
 	ID       string
-	GiveUp   Micros
+	GiveUp   Micros // without an answer by then, the attempt ends as TimedOut
 	Endpoint EndpointID
 }
 
-// Cancel calls off an attempt; its one Reply still comes.
+// Cancel cancels an attempt. Its AttemptResult still follows.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// Refuse ends a message undelivered; the client may safely come again.
+// Refuse ends a message undelivered. It has not run, so the client may safely send it again.
 type Refuse struct {
 	ID      string
-	RetryIn Micros // advice; 0 for none
+	RetryIn Micros // when the client should retry; 0 for no advice
 }
 
-// Fail ends a message; whether it took effect is not known.
+// Fail ends a message of which it is not known whether it took effect.
 type Fail struct{ ID string }
 
-// SetTimer asks for a Due after Wait.
+// SetTimer asks for a TimerExpired with this Token after Wait.
 type SetTimer struct {
 	Wait  Micros
 	Token uint64
 }
 
-// Probe sends a check to an endpoint.
+// Probe sends a health check to an endpoint. The Sender emits none.
 type Probe struct{ Endpoint EndpointID }
 
-// Release gives back the idle connections to an endpoint.
+// Release closes the idle connections to an endpoint.
 type Release struct{ Endpoint EndpointID }
 
-// Listen asks for the endpoint list and its changes.
+// Listen requests the endpoint list and its changes.
 type Listen struct{}
 
-// Log is a line for the people on call.
+// Log is a log line for the operators.
 type Log struct{ Text string }
 
 func (CallOut) isAction()  {}
