--- a/logic/decision_test.go
+++ b/logic/decision_test.go
@@ -10,16 +10,16 @@
 )
 
 // addSamples fills a histogram with n samples each of the given latencies.
-func addSamples(h *histogram, n int, took ...float64) {
+func addSamples(h *histogram, n int, latencies ...float64) {
 	for range n {
-		for _, x := range took {
-			h.add(0, fromSeconds(x), false)
+		for _, latency := range latencies {
+			h.add(0, fromSeconds(latency), false)
 		}
 	}
 }
 
 func TestRestartTimeFromLatencies(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name    string
 		fill    func(*histogram)
 		restart bool
@@ -35,12 +35,12 @@
 		}, true},
 	} {
 		var h histogram
-		c.fill(&h)
-		if got := h.tau > 0; got != c.restart {
-			t.Errorf("%s: tau %d", c.name, h.tau)
+		tc.fill(&h)
+		if got := h.tau > 0; got != tc.restart {
+			t.Errorf("%s: got tau of %d us", tc.name, h.tau)
 		}
 		if h.tau > 0 && (h.tau < fromSeconds(0.1) || h.tau > fromSeconds(0.2)) {
-			t.Errorf("%s: tau %d is not at the edge past the quick ones", c.name, h.tau)
+			t.Errorf("%s: got tau of %d us, want the bin edge past the quick calls", tc.name, h.tau)
 		}
 	}
 }
@@ -50,21 +50,22 @@
 	addSamples(&h, 16, 0.1)
 	h.add(histogramHalfLife, fromSeconds(1), false)
 	if math.Abs(h.total-9) > 1e-9 {
-		t.Errorf("after a half-life 16 samples and a new one weigh %v, want 9", h.total)
+		t.Errorf("weight of 16 samples after a half-life and a new one: got %v, want 9", h.total)
 	}
 	for range 20 {
 		h.add(histogramHalfLife, fromSeconds(1), false)
 	}
 	if h.median < fromSeconds(0.9) {
-		t.Errorf("median %d stays at the old latency after a lasting shift", h.median)
+		t.Errorf("got median of %d us after 20 samples of 1 s, want the new latency", h.median)
 	}
 }
 
-// serveCalls serves n calls of class 0 at each of the rig's endpoints, so that latencies are known.
-func (r *harness) serveCalls(at float64, n int) float64 {
+// serveCalls answers n new messages of class 0 after 0.1 s each, so that latencies are known. It returns the time
+// after the last.
+func (h *harness) serveCalls(at float64, n int) float64 {
 	for range n {
-		for _, c := range actionsOf[CallOut](r.step(at, r.newMessage(0))) {
-			r.step(at+0.1, resultOf(c.ID, c.Endpoint, 0, Completed))
+		for _, c := range actionsOf[CallOut](h.step(at, h.newMessage(0))) {
+			h.step(at+0.1, resultOf(c.ID, c.Endpoint, 0, Completed))
 		}
 		at += 0.4
 	}
@@ -72,183 +73,186 @@
 }
 
 func TestFirstSendsRotateOverEndpoints(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(3))
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(3))
 	seen := map[EndpointID]int{}
 	for i := range 9 {
-		for _, c := range actionsOf[CallOut](r.step(float64(i), r.newMessage(0))) {
+		for _, c := range actionsOf[CallOut](h.step(float64(i), h.newMessage(0))) {
 			seen[c.Endpoint]++
-			r.step(float64(i)+0.1, resultOf(c.ID, c.Endpoint, 0, Completed))
+			h.step(float64(i)+0.1, resultOf(c.ID, c.Endpoint, 0, Completed))
 		}
 	}
 	if seen[1] != 3 || seen[2] != 3 || seen[3] != 3 {
-		t.Errorf("nine sends went %v", seen)
+		t.Errorf("nine sends by endpoint: got %v, want three each", seen)
 	}
 }
 
 func TestCallCutOffAtRestartTimeIsResentElsewhere(t *testing.T) {
-	for class, again := range []bool{true, true, false} {
-		set := baseSettings()
-		set.Weights = WeightsNominal
-		r := newHarness(t, set)
-		ev := fullList(2)
-		ev.Entries[0].Nominal, ev.Entries[1].Nominal = 40, 40
-		r.step(0, ev)
-		at := r.serveCalls(1, 20)
-		d := r.sender.destinations[9]
-		addSamples(&d.histogram, 2, 5) // a slow few: restarting pays
-		d.histogram.add(r.sender.now, fromSeconds(5), false)
+	for class, resent := range []bool{true, true, false} {
+		settings := baseSettings()
+		settings.Weights = WeightsNominal
+		h := newHarness(t, settings)
+		list := fullList(2)
+		list.Entries[0].Nominal, list.Entries[1].Nominal = 40, 40
+		h.step(0, list)
+		at := h.serveCalls(1, 20)
+		d := h.sender.destinations[9]
+		addSamples(&d.histogram, 2, 5) // a few slow calls, so that a restart takes less time on average
+		d.histogram.add(h.sender.now, fromSeconds(5), false)
 		if d.histogram.tau == 0 {
-			t.Fatal("no tau")
+			t.Fatal("got no tau from a few slow calls")
 		}
 		d.histogram.p95 = d.histogram.tau
-		m := r.newMessage(class)
-		first := actionsOf[CallOut](r.step(at, m))[0]
-		limit := seconds(max(d.histogram.tau, r.sender.stuckAfter(d, r.sender.messages[m.ID])))
-		if c := actionsOf[Cancel](r.step(at+limit-0.05, TimerExpired{})); len(c) > 0 {
-			t.Errorf("class %d: cut before the limit", class)
+		m := h.newMessage(class)
+		first := actionsOf[CallOut](h.step(at, m))[0]
+		limit := seconds(max(d.histogram.tau, h.sender.stuckAfter(d, h.sender.messages[m.ID])))
+		if c := actionsOf[Cancel](h.step(at+limit-0.05, TimerExpired{})); len(c) > 0 {
+			t.Errorf("class %d: call cancelled before its limit", class)
 		}
-		cut := actionsOf[Cancel](r.step(at+limit+0.01, TimerExpired{}))
-		if got := len(cut) == 1; got != again {
-			t.Fatalf("class %d: cut %v at tau", class, got)
+		cancelled := actionsOf[Cancel](h.step(at+limit+0.01, TimerExpired{}))
+		if got := len(cancelled) == 1; got != resent {
+			t.Fatalf("class %d: call cancelled at tau: got %v", class, got)
 		}
-		if !again {
+		if !resent {
 			continue
 		}
-		next := actionsOf[CallOut](r.step(at+limit+0.05, resultOf(m.ID, first.Endpoint, 0, Cancelled)))
-		if len(next) != 1 || next[0].Endpoint == first.Endpoint {
-			t.Errorf("class %d: resent %v after a cut at endpoint %d", class, next, first.Endpoint)
+		resends := actionsOf[CallOut](h.step(at+limit+0.05, resultOf(m.ID, first.Endpoint, 0, Cancelled)))
+		if len(resends) != 1 || resends[0].Endpoint == first.Endpoint {
+			t.Errorf("class %d: got sends %v after the cancel at endpoint %d, want one to the other endpoint", class, resends,
+				first.Endpoint)
 		}
-		// A long job is not cut again at the same limit.
-		if c := actionsOf[Cancel](r.step(at+2*limit+0.1, TimerExpired{})); len(c) > 0 {
-			t.Errorf("class %d: the second attempt was cut at the first one's limit", class)
+		// Each restart doubles the limit, so that a message that always takes long is not cut off again and again.
+		if c := actionsOf[Cancel](h.step(at+2*limit+0.1, TimerExpired{})); len(c) > 0 {
+			t.Errorf("class %d: the second attempt was cancelled at the limit of the first", class)
 		}
 	}
 }
 
 func TestNoSendWithLessTimeThanMedianLatency(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(1))
-	at := r.serveCalls(1, 10)
-	c := r.newMessage(0)
-	c.TimeLeft = fromSeconds(0.05) // less than the median of 0.1 s
-	acts := r.step(at, c)
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(1))
+	at := h.serveCalls(1, 10)
+	m := h.newMessage(0)
+	m.TimeLeft = fromSeconds(0.05) // less than the median of 0.1 s
+	acts := h.step(at, m)
 	if len(actionsOf[Refuse](acts)) != 1 || len(actionsOf[CallOut](acts)) != 0 {
-		t.Errorf("a message with less time than a usual call: %v", acts)
+		t.Errorf("message with less time left than the median latency: got %v, want a refusal", acts)
 	}
 }
 
 func TestPaceHalvesOnceASecondToItsMinimum(t *testing.T) {
-	r := newHarness(t, baseSettings())
+	h := newHarness(t, baseSettings())
 	l := &limiter{}
-	r.sender.now = fromSeconds(1)
+	h.sender.now = fromSeconds(1)
 	for range 6 {
-		l.sentTimes = append(l.sentTimes, r.sender.now)
+		l.sentTimes = append(l.sentTimes, h.sender.now)
 	}
-	r.sender.reducePace(l)
+	h.sender.reducePace(l)
 	if l.pace != 6 {
-		t.Fatalf("first refusal set the pace to %v, want the last second's 6", l.pace)
+		t.Fatalf("pace after the first rejection: got %v, want the rate of the last second, 6", l.pace)
 	}
-	r.sender.reducePace(l)
+	h.sender.reducePace(l)
 	if l.pace != 6 {
-		t.Errorf("pace %v, want no second cut within a second", l.pace)
+		t.Errorf("pace after a second rejection within a second: got %v, want 6", l.pace)
 	}
 	for i, want := range []float64{3, 1.5, 1, 1} {
-		r.sender.now = fromSeconds(2 + float64(i))
-		r.sender.reducePace(l)
+		h.sender.now = fromSeconds(2 + float64(i))
+		h.sender.reducePace(l)
 		if l.pace != want {
-			t.Errorf("refusal %d: pace %v, want %v", i+2, l.pace, want)
+			t.Errorf("rejection %d: got pace %v, want %v", i+2, l.pace, want)
 		}
 	}
-	r.sender.raisePace(l)
+	h.sender.raisePace(l)
 	if l.pace != 1.1 {
-		t.Errorf("after a success the pace is %v, want 1.1", l.pace)
+		t.Errorf("pace after a success: got %v, want 1.1", l.pace)
 	}
-	// A told limit: the floor is no more than an even share, and the pace creeps by a share of it.
+	// With a known limit the least pace is at most an even share of it, and the pace grows by a part of that share.
 	l = &limiter{limit: 20, pace: 1}
-	r.sender.raisePace(l)
+	h.sender.raisePace(l)
 	if l.pace != 2 {
-		t.Errorf("pace %v under a limit of 20 for two senders, want 2", l.pace)
+		t.Errorf("pace under a limit of 20 for two senders: got %v, want 2", l.pace)
 	}
-	if f := r.sender.minPace(&limiter{limit: 1}); f != 0.5 {
-		t.Errorf("floor %v under a limit of 1 for two senders", f)
+	if f := h.sender.minPace(&limiter{limit: 1}); f != 0.5 {
+		t.Errorf("least pace under a limit of 1 for two senders: got %v, want 0.5", f)
 	}
 }
 
 func TestBurstLargerThanThePace(t *testing.T) {
-	set := baseSettings()
-	set.Weights, set.Slots = WeightsNominal, 40
-	r := newHarness(t, set)
-	ev := fullList(1)
-	ev.Entries[0].Nominal = 8 // shared by two: a pace of 5
-	r.step(0, ev)
-	var calls []Event
+	settings := baseSettings()
+	settings.Weights, settings.Slots = WeightsNominal, 40
+	h := newHarness(t, settings)
+	list := fullList(1)
+	list.Entries[0].Nominal = 8 // two senders: a pace of 1.25 * 8 / 2 = 5
+	h.step(0, list)
+	var messages []Event
 	for range 12 {
-		calls = append(calls, r.newMessage(0))
+		messages = append(messages, h.newMessage(0))
 	}
-	r.sender.destinations[9].limiter.refilledAt = 0
-	r.step(5)
-	if n := len(actionsOf[CallOut](r.step(5, calls...))); n != 2 {
-		t.Errorf("%d sends of a clump at once under a pace of 5 a second, want half a second of it", n)
+	h.sender.destinations[9].limiter.refilledAt = 0
+	h.step(5)
+	if n := len(actionsOf[CallOut](h.step(5, messages...))); n != 2 {
+		t.Errorf("got %d sends of a burst at once under a pace of 5 a second, want the 2 of half a second", n)
 	}
 }
 
 func TestRetryAfterIsHonored(t *testing.T) {
-	for _, apart := range []bool{false, true} {
-		set := baseSettings()
-		set.Kinds[0].SeparateRoutes = apart
-		r := newHarness(t, set)
-		r.step(0, fullList(2))
-		c := actionsOf[CallOut](r.step(1, r.newMessage(0)))[0]
-		full := resultOf(c.ID, c.Endpoint, 0, Rejected)
-		full.RetryAfter = fromSeconds(1.5)
-		acts := r.step(1.1, full, r.newMessage(0), r.newMessage(1), r.newMessage(2))
-		for _, x := range actionsOf[CallOut](acts) {
-			if !apart || x.Endpoint == c.Endpoint {
-				t.Errorf("apart %v: sent to %d during a wait told by %d", apart, x.Endpoint, c.Endpoint)
+	for _, separateRoutes := range []bool{false, true} {
+		settings := baseSettings()
+		settings.Kinds[0].SeparateRoutes = separateRoutes
+		h := newHarness(t, settings)
+		h.step(0, fullList(2))
+		c := actionsOf[CallOut](h.step(1, h.newMessage(0)))[0]
+		rejected := resultOf(c.ID, c.Endpoint, 0, Rejected)
+		rejected.RetryAfter = fromSeconds(1.5)
+		acts := h.step(1.1, rejected, h.newMessage(0), h.newMessage(1), h.newMessage(2))
+		for _, send := range actionsOf[CallOut](acts) {
+			if !separateRoutes || send.Endpoint == c.Endpoint {
+				t.Errorf("separate routes %v: sent to endpoint %d during the retry-after time of endpoint %d", separateRoutes,
+					send.Endpoint, c.Endpoint)
 			}
 		}
-		if apart && len(actionsOf[CallOut](acts)) == 0 {
-			t.Error("a wait of one route held the other")
+		if separateRoutes && len(actionsOf[CallOut](acts)) == 0 {
+			t.Error("the retry-after time of one route held back sends to the other")
 		}
-		later := r.step(3.7, TimerExpired{})
-		if !apart && len(actionsOf[CallOut](later)) == 0 {
-			t.Error("nothing sent after the wait")
+		later := h.step(3.7, TimerExpired{})
+		if !separateRoutes && len(actionsOf[CallOut](later)) == 0 {
+			t.Error("nothing sent after the retry-after time")
 		}
 	}
 }
 
 func TestMessageThatMayHaveRunFails(t *testing.T) {
 	for _, o := range []Outcome{Errored, ConnBroken, TimedOut, Cancelled} {
-		r := newHarness(t, baseSettings())
-		r.step(0, fullList(2))
-		c := actionsOf[CallOut](r.step(1, r.newMessage(2)))[0]
-		acts := r.step(1.1, resultOf(c.ID, c.Endpoint, 0, o))
+		h := newHarness(t, baseSettings())
+		h.step(0, fullList(2))
+		c := actionsOf[CallOut](h.step(1, h.newMessage(2)))[0]
+		acts := h.step(1.1, resultOf(c.ID, c.Endpoint, 0, o))
 		if len(actionsOf[Fail](acts)) != 1 || len(actionsOf[CallOut](acts))+len(actionsOf[Refuse](acts)) > 0 {
-			t.Errorf("outcome %d of an unsafe message: %v", o, acts)
+			t.Errorf("outcome %d of an unsafe message: got %v, want it to fail", o, acts)
 		}
 	}
 	for _, o := range []Outcome{ConnRefused, NotSent} {
-		r := newHarness(t, baseSettings())
-		r.step(0, fullList(2))
-		c := actionsOf[CallOut](r.step(1, r.newMessage(2)))[0]
-		acts := r.step(1.1, resultOf(c.ID, c.Endpoint, 0, o))
-		acts = append(acts, r.step(4, TimerExpired{})...)
-		acts = append(acts, r.step(9.5, TimerExpired{})...)
+		h := newHarness(t, baseSettings())
+		h.step(0, fullList(2))
+		c := actionsOf[CallOut](h.step(1, h.newMessage(2)))[0]
+		acts := h.step(1.1, resultOf(c.ID, c.Endpoint, 0, o))
+		acts = append(acts, h.step(4, TimerExpired{})...)
+		acts = append(acts, h.step(9.5, TimerExpired{})...)
 		if len(actionsOf[Fail](acts)) != 0 || len(actionsOf[CallOut](acts)) == 0 {
-			t.Errorf("outcome %d never ran, yet: %v", o, acts)
+			t.Errorf("outcome %d, which proves that the attempt did not run: got %v, want a resend", o, acts)
 		}
 	}
 }
 
 func TestMessagesToUnresponsiveDestinationsEndInTime(t *testing.T) {
-	for name, ev := range map[string]ListUpdate{"no list": {}, "silent": fullList(2), "unknown destination": {Entries: []Entry{{Endpoint: 5, Destination: 4}}}} {
-		r := newHarness(t, baseSettings())
-		r.step(0, ev)
-		r.step(1, r.newMessage(0), r.newMessage(1), r.newMessage(2))
+	for name, list := range map[string]ListUpdate{"no list": {}, "silent": fullList(2),
+		"unknown destination": {Entries: []Entry{{Endpoint: 5, Destination: 4}}}} {
+		h := newHarness(t, baseSettings())
+		h.step(0, list)
+		h.step(1, h.newMessage(0), h.newMessage(1), h.newMessage(2))
 		ended := map[string]bool{}
 		for at := 1.0; at < 16; at += 0.005 {
-			for _, a := range r.step(at, TimerExpired{}) {
+			for _, a := range h.step(at, TimerExpired{}) {
 				switch a := a.(type) {
 				case Refuse:
 					ended[a.ID] = true
@@ -256,874 +260,894 @@
 					ended[a.ID] = true
 				}
 			}
-			for i, c := range r.sender.settings.Classes {
+			for i, c := range h.sender.settings.Classes {
 				if id := []string{"m1", "m2", "m3"}[i]; fromSeconds(at) >= fromSeconds(1)+c.Deadline && !ended[id] {
-					t.Fatalf("%s: %s has no answer at its deadline", name, id)
+					t.Fatalf("%s: message %s has not ended by its deadline", name, id)
 				}
 			}
 		}
 		if len(ended) != 3 {
-			t.Errorf("%s: ended %v", name, ended)
+			t.Errorf("%s: got ended messages %v, want all three", name, ended)
 		}
 	}
 }
 
-// Discovery that is overbooked stays so if a fleet asks again soon and in step.
+// An overloaded discovery stays overloaded if the senders of a fleet all ask again soon and at the same time.
 func TestManySendersSpreadListRequests(t *testing.T) {
-	set := baseSettings()
-	set.ListOnRequest, set.Senders = true, 36
-	first := map[Micros]bool{}
+	settings := baseSettings()
+	settings.ListOnRequest, settings.Senders = true, 36
+	firstDelays := map[Micros]bool{}
 	for seed := range uint64(8) {
-		s, err := New(set, seed)
+		s, err := New(settings, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.Step(0, nil)
 		for i := range 6 {
 			s.Step(fromSeconds(10*float64(i)), []Event{ListUpdate{Form: ListRequestFailed}})
-			gap := s.listRequestAt - s.now
+			delay := s.listRequestAt - s.now
 			if i == 0 {
-				first[gap] = true
+				firstDelays[delay] = true
 			}
-			if least := fromSeconds(0.45); gap < least || gap > fromSeconds(6) {
-				t.Errorf("pause %d is %d us", i, gap)
+			if minDelay := fromSeconds(0.45); delay < minDelay || delay > fromSeconds(6) {
+				t.Errorf("list retry delay %d: got %d us, want 0.45 to 6 s", i, delay)
 			}
 			s.Step(s.listRequestAt, nil)
 		}
 	}
-	if len(first) < 6 {
-		t.Errorf("first pauses in step: %v", first)
+	if len(firstDelays) < 6 {
+		t.Errorf("first list retry delays of 8 senders: got %v, want them spread", firstDelays)
 	}
 }
 
 func TestListUpdates(t *testing.T) {
-	set := baseSettings()
-	set.ListOnRequest = true
-	r := newHarness(t, set)
-	if n := len(actionsOf[Listen](r.step(0, ListUpdate{Form: ListCached, Entries: fullList(2).Entries}))); n != 1 {
-		t.Fatal("did not subscribe at once")
-	}
-	r.step(1, ListUpdate{Form: ListRequestFailed})
-	if len(actionsOf[Listen](r.step(1.04, TimerExpired{}))) != 0 || len(actionsOf[Listen](r.step(1.06, TimerExpired{}))) != 1 {
-		t.Error("did not ask again after 50 ms")
-	}
-	r.step(1.1, ListUpdate{Form: ListRequestFailed})
-	if len(actionsOf[Listen](r.step(1.19, TimerExpired{}))) != 0 || len(actionsOf[Listen](r.step(1.21, TimerExpired{}))) != 1 {
-		t.Error("did not back off")
-	}
-	for range 8 { // what changes between two calls counts as told: the pause stays under a drain's grace
-		r.step(2, ListUpdate{Form: ListRequestFailed})
-	}
-	if len(actionsOf[Listen](r.step(2.6, TimerExpired{}))) != 1 {
-		t.Error("a pause longer than a drain's grace allows")
-	}
-	// A whole list replaces the old one; a draining endpoint gets nothing new.
-	row := Entry{Endpoint: 3, Destination: 9, State: Draining}
-	r.step(5, ListUpdate{Form: ListFull, Entries: append(fullList(1).Entries, row)})
+	settings := baseSettings()
+	settings.ListOnRequest = true
+	h := newHarness(t, settings)
+	if n := len(actionsOf[Listen](h.step(0, ListUpdate{Form: ListCached, Entries: fullList(2).Entries}))); n != 1 {
+		t.Fatal("the list was not requested at once")
+	}
+	h.step(1, ListUpdate{Form: ListRequestFailed})
+	if len(actionsOf[Listen](h.step(1.04, TimerExpired{}))) != 0 ||
+		len(actionsOf[Listen](h.step(1.06, TimerExpired{}))) != 1 {
+		t.Error("the list was not requested again after 50 ms")
+	}
+	h.step(1.1, ListUpdate{Form: ListRequestFailed})
+	if len(actionsOf[Listen](h.step(1.19, TimerExpired{}))) != 0 ||
+		len(actionsOf[Listen](h.step(1.21, TimerExpired{}))) != 1 {
+		t.Error("the second list retry delay was not doubled to 100 ms")
+	}
+	for range 8 { // a change between two requests counts as known: the delay stays below the drain grace
+		h.step(2, ListUpdate{Form: ListRequestFailed})
+	}
+	if len(actionsOf[Listen](h.step(2.6, TimerExpired{}))) != 1 {
+		t.Error("a list retry delay longer than the drain grace allows")
+	}
+	// A full list replaces the old one, and nothing new is sent to a draining endpoint.
+	draining := Entry{Endpoint: 3, Destination: 9, State: Draining}
+	h.step(5, ListUpdate{Form: ListFull, Entries: append(fullList(1).Entries, draining)})
 	for i := range 4 {
 		at := 6 + float64(i)
-		for _, c := range actionsOf[CallOut](r.step(at, r.newMessage(0))) {
+		for _, c := range actionsOf[CallOut](h.step(at, h.newMessage(0))) {
 			if c.Endpoint != 1 {
-				t.Errorf("sent to endpoint %d", c.Endpoint)
+				t.Errorf("sent to endpoint %d, want 1 only", c.Endpoint)
 			}
-			r.step(at+0.1, resultOf(c.ID, c.Endpoint, 0, Completed))
+			h.step(at+0.1, resultOf(c.ID, c.Endpoint, 0, Completed))
 		}
 	}
 }
 
-// Found on a drawn day: a call that was under way when a route shut counted as its return, and the warm-up had
-// run out before it opened.
+// Guards against an ejection that ends too early: the answer to a call that was in flight when the endpoint became
+// unavailable counted as its return, and slow start was over before the endpoint was back.
 func TestAnswerToOlderCallDoesNotEndEjection(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(1))
-	a := actionsOf[CallOut](r.step(1, r.newMessage(0)))[0]
-	b := actionsOf[CallOut](r.step(1.1, r.newMessage(0)))[0]
-	shut := resultOf(b.ID, b.Endpoint, 0, Rejected)
-	shut.RetryAfter = fromSeconds(8)
-	r.step(1.2, shut)
-	r.step(1.3, resultOf(a.ID, a.Endpoint, 0, Completed))
-	if e := r.sender.endpoints[1]; !e.ejected || !e.recovering {
-		t.Error("an answer to an older call ended the watch on a shut endpoint")
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(1))
+	a := actionsOf[CallOut](h.step(1, h.newMessage(0)))[0]
+	b := actionsOf[CallOut](h.step(1.1, h.newMessage(0)))[0]
+	rejected := resultOf(b.ID, b.Endpoint, 0, Rejected)
+	rejected.RetryAfter = fromSeconds(8)
+	h.step(1.2, rejected)
+	h.step(1.3, resultOf(a.ID, a.Endpoint, 0, Completed))
+	if e := h.sender.endpoints[1]; !e.ejected || !e.recovering {
+		t.Error("the answer to an older call ended the ejection or slow start of an unavailable endpoint")
 	}
 }
 
-// Found on a standard day: machines that joined a destination still cold were sent to without a budget.
+// Guards against sends without a budget to an endpoint that joins the list while its destination has an outage.
 func TestEndpointJoiningInOutageIsRecovering(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(1))
-	c := actionsOf[CallOut](r.step(1, r.newMessage(0)))[0]
-	r.step(1.1, resultOf(c.ID, c.Endpoint, 0, ConnRefused))
-	r.step(2, ListUpdate{Form: ListDelta, Entries: []Entry{{Endpoint: 2, Destination: 9}}})
-	if e := r.sender.endpoints[2]; !e.recovering || !e.ejected {
-		t.Error("the new endpoint has no budget")
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(1))
+	c := actionsOf[CallOut](h.step(1, h.newMessage(0)))[0]
+	h.step(1.1, resultOf(c.ID, c.Endpoint, 0, ConnRefused))
+	h.step(2, ListUpdate{Form: ListDelta, Entries: []Entry{{Endpoint: 2, Destination: 9}}})
+	if e := h.sender.endpoints[2]; !e.recovering || !e.ejected {
+		t.Error("the new endpoint is not ejected and recovering, so it has no budget")
 	}
 }
 
-// Found on an incident: with limits that others use up, every refusal looked like a shut destination.
+// Guards against rejections that are taken for an outage: other senders use the limit up, and the calls between the
+// rejections are answered.
 func TestRejectionsBesideAnswersAreNoOutage(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(2))
-	e := r.sender.endpoints[1]
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(2))
+	e := h.sender.endpoints[1]
 	for i := range 8 {
-		r.sender.now = fromSeconds(1 + 0.5*float64(i))
-		r.sender.recordRejection(e, 0)
+		h.sender.now = fromSeconds(1 + 0.5*float64(i))
+		h.sender.recordRejection(e, 0)
 		if i%3 == 2 {
-			r.sender.recordSuccess(r.sender.endpoints[2], r.sender.now)
+			h.sender.recordSuccess(h.sender.endpoints[2], h.sender.now)
 		}
 	}
 	if e.ejected {
-		t.Error("refusals between answers took the endpoint out")
+		t.Error("rejections between answers ejected the endpoint")
 	}
 	for i := range 5 {
-		r.sender.now = fromSeconds(10 + 0.5*float64(i))
-		r.sender.recordRejection(e, 0)
+		h.sender.now = fromSeconds(10 + 0.5*float64(i))
+		h.sender.recordRejection(e, 0)
 	}
 	if !e.ejected {
-		t.Error("a destination that refuses everything without a wait was not noticed")
+		t.Error("a destination that rejects everything without a retry-after time was not ejected")
 	}
 }
 
-// Found on an incident: messages were refused by a low pace although the hold was nearly empty.
+// Guards against messages refused because of a low pace although the queue of open messages is nearly empty.
 func TestLowPaceKeepsMessagesWhileQueueHasRoom(t *testing.T) {
-	for _, c := range []struct{ hold, ends int }{{200, 0}, {30, 1}} {
-		set := baseSettings()
-		set.MaxOpen = c.hold
-		r := newHarness(t, set)
-		r.step(0, fullList(1))
-		r.sender.destinations[9].limiter.pace = 1
-		r.sender.destinations[9].limiter.waitUntil = fromSeconds(2)
-		var calls []Event
+	for _, tc := range []struct{ maxOpen, refused int }{{200, 0}, {30, 1}} {
+		settings := baseSettings()
+		settings.MaxOpen = tc.maxOpen
+		h := newHarness(t, settings)
+		h.step(0, fullList(1))
+		h.sender.destinations[9].limiter.pace = 1
+		h.sender.destinations[9].limiter.waitUntil = fromSeconds(2)
+		var messages []Event
 		for range 25 {
-			calls = append(calls, r.newMessage(0))
+			messages = append(messages, h.newMessage(0))
 		}
-		if n := len(actionsOf[Refuse](r.step(1, calls...))); min(n, 1) != c.ends {
-			t.Errorf("hold of %d: %d refused", c.hold, n)
+		if n := len(actionsOf[Refuse](h.step(1, messages...))); min(n, 1) != tc.refused {
+			t.Errorf("MaxOpen of %d: got %d messages refused", tc.maxOpen, n)
 		}
 	}
 }
 
 func TestOneDestinationCannotHoldEverySlot(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(2), ListUpdate{Entries: []Entry{{Endpoint: 7, Destination: 8}}})
-	var calls []Event
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(2), ListUpdate{Entries: []Entry{{Endpoint: 7, Destination: 8}}})
+	var messages []Event
 	for range 20 {
-		calls = append(calls, r.newMessage(2))
+		messages = append(messages, h.newMessage(2))
 	}
-	if n := len(actionsOf[CallOut](r.step(1, calls...))); n != 4 {
-		t.Errorf("one destination took %d of 8 slots", n)
+	if n := len(actionsOf[CallOut](h.step(1, messages...))); n != 4 {
+		t.Errorf("one destination took %d of 8 slots, want 4", n)
 	}
-	other := r.newMessage(0)
+	other := h.newMessage(0)
 	other.Destination = 8
-	if n := len(actionsOf[CallOut](r.step(2, other))); n != 1 {
+	if n := len(actionsOf[CallOut](h.step(2, other))); n != 1 {
 		t.Error("no slot was left for another destination")
 	}
 }
 
 func TestIdleDestinationStateIsDropped(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(1))
-	at := r.serveCalls(1, 10)
-	r.sender.destinations[9].limiter.pace = 1
-	r.step(at+seconds(idleStateAge)+1, r.newMessage(0))
-	if d := r.sender.destinations[9]; d.histogram.total != 0 || d.limiter.pace != 0 {
-		t.Error("an idle destination kept its histogram or pace")
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(1))
+	at := h.serveCalls(1, 10)
+	h.sender.destinations[9].limiter.pace = 1
+	h.step(at+seconds(idleStateAge)+1, h.newMessage(0))
+	if d := h.sender.destinations[9]; d.histogram.total != 0 || d.limiter.pace != 0 {
+		t.Error("a destination idle for longer than idleStateAge kept its histogram or pace")
 	}
 }
 
 func TestUnknownAndLateEventsAreIgnored(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(5, fullList(1))
-	acts := r.step(5, AttemptResult{ID: "nobody", Endpoint: 99}, ClientGone{"nobody"}, TimerExpired{99}, HealthResult{Endpoint: 99},
-		StreamStarted{ID: "nobody"}, ListUpdate{Form: ListDelta, Entries: []Entry{{Endpoint: 77, State: Removed}}})
+	h := newHarness(t, baseSettings())
+	h.step(5, fullList(1))
+	acts := h.step(5, AttemptResult{ID: "nobody", Endpoint: 99}, ClientGone{"nobody"}, TimerExpired{99},
+		HealthResult{Endpoint: 99}, StreamStarted{ID: "nobody"},
+		ListUpdate{Form: ListDelta, Entries: []Entry{{Endpoint: 77, State: Removed}}})
 	if len(acts) != 0 {
-		t.Errorf("unknown ids caused %v", acts)
+		t.Errorf("events with unknown IDs: got actions %v, want none", acts)
 	}
-	c := actionsOf[CallOut](r.step(6, r.newMessage(0)))[0]
-	r.step(6.1, ClientGone{c.ID})
-	acts = r.step(6.2, resultOf(c.ID, c.Endpoint, 0, Errored), resultOf(c.ID, c.Endpoint, 0, Errored))
-	if len(acts) != 0 || r.sender.slotsInUse != 0 {
-		t.Errorf("a late outcome of a withdrawn message caused %v; %d slots busy", acts, r.sender.slotsInUse)
+	c := actionsOf[CallOut](h.step(6, h.newMessage(0)))[0]
+	h.step(6.1, ClientGone{c.ID})
+	acts = h.step(6.2, resultOf(c.ID, c.Endpoint, 0, Errored), resultOf(c.ID, c.Endpoint, 0, Errored))
+	if len(acts) != 0 || h.sender.slotsInUse != 0 {
+		t.Errorf("late outcomes of a message whose client is gone: got actions %v and %d slots in use, want none", acts,
+			h.sender.slotsInUse)
 	}
-	before := r.sender.now
-	r.step(1, r.newMessage(0)) // a clock that steps back does no harm
-	if r.sender.now != before {
-		t.Error("time went back")
+	before := h.sender.now
+	h.step(1, h.newMessage(0)) // a clock that steps back is ignored
+	if h.sender.now != before {
+		t.Error("the time of the sender went back")
 	}
 }
 
 func TestBatchTakesOneSlot(t *testing.T) {
-	set := baseSettings()
-	set.Kinds[0].Batch = 10
-	set.Slots = 1
-	r := newHarness(t, set)
-	r.step(0, fullList(1))
-	var calls []Event
+	settings := baseSettings()
+	settings.Kinds[0].Batch = 10
+	settings.Slots = 1
+	h := newHarness(t, settings)
+	h.step(0, fullList(1))
+	var messages []Event
 	for range 15 {
-		calls = append(calls, r.newMessage(0))
+		messages = append(messages, h.newMessage(0))
 	}
-	out := actionsOf[CallOut](r.step(1, calls...))
-	if len(out) != 10 || r.sender.slotsInUse != 1 {
-		t.Fatalf("%d sends in %d slots, want 10 in one", len(out), r.sender.slotsInUse)
+	sends := actionsOf[CallOut](h.step(1, messages...))
+	if len(sends) != 10 || h.sender.slotsInUse != 1 {
+		t.Fatalf("got %d sends in %d slots, want 10 in one", len(sends), h.sender.slotsInUse)
 	}
-	for _, c := range out {
-		r.step(1.2, resultOf(c.ID, c.Endpoint, 0, Completed))
+	for _, c := range sends {
+		h.step(1.2, resultOf(c.ID, c.Endpoint, 0, Completed))
 	}
-	if len(r.sender.attempts) != 5 {
-		t.Errorf("%d calls out after the first batch, want the other five", len(r.sender.attempts))
+	if len(h.sender.attempts) != 5 {
+		t.Errorf("%d attempts in flight after the first batch, want the other five", len(h.sender.attempts))
 	}
 }
 
-// Found on an incident: a share of all answers was lost while the rest came quickly. The lost calls never showed in
-// the histogram and held slots to their deadline.
+// Guards against calls that hold their slots until the deadline: part of all answers is lost while the others come
+// quickly, and the lost calls do not count in the histogram.
 func TestLostAnswersCountInTheHistogram(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(2))
-	at := r.serveCalls(1, 20)
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(2))
+	at := h.serveCalls(1, 20)
 	lost := []CallOut{}
 	for range 3 {
-		lost = append(lost, actionsOf[CallOut](r.step(at, r.newMessage(0)))...)
-		at = r.serveCalls(at+0.1, 4)
+		lost = append(lost, actionsOf[CallOut](h.step(at, h.newMessage(0)))...)
+		at = h.serveCalls(at+0.1, 4)
 	}
-	at = r.serveCalls(at, 8)
-	r.step(at, TimerExpired{})
-	if h := &r.sender.destinations[9].histogram; h.cutOffs < 0.8 || h.tau == 0 {
-		t.Errorf("lost answers: %v counted while out, tau %d", h.cutOffs, h.tau)
+	at = h.serveCalls(at, 8)
+	h.step(at, TimerExpired{})
+	if hist := &h.sender.destinations[9].histogram; hist.cutOffs < 0.8 || hist.tau == 0 {
+		t.Errorf("lost answers: got %v cut-offs with the calls in flight and a tau of %d us, want at least 0.8 and a tau",
+			hist.cutOffs, hist.tau)
 	}
-	cut := 0
-	for _, a := range r.sender.attempts {
+	cancelled := 0
+	for _, a := range h.sender.attempts {
 		if a.cancelled {
-			cut++
+			cancelled++
 		}
 	}
-	if cut != len(lost) {
-		t.Errorf("%d of %d lost calls were called off", cut, len(lost))
+	if cancelled != len(lost) {
+		t.Errorf("%d of %d lost calls were cancelled, want all", cancelled, len(lost))
 	}
-	// One that answers after all is no longer counted.
-	before := r.sender.destinations[9].histogram.cutOffs
-	r.step(at, resultOf(lost[0].ID, lost[0].Endpoint, 0, Completed))
-	if got := r.sender.destinations[9].histogram.cutOffs; got > before-0.9 {
-		t.Errorf("a late answer left %v of %v counted as lost", got, before)
+	// A call that is answered in the end does not count as cut off.
+	before := h.sender.destinations[9].histogram.cutOffs
+	h.step(at, resultOf(lost[0].ID, lost[0].Endpoint, 0, Completed))
+	if got := h.sender.destinations[9].histogram.cutOffs; got > before-0.9 {
+		t.Errorf("after a late answer %v of %v cut-offs are left, want one less", got, before)
 	}
 }
 
 func TestUnsafeCallIsCancelledForTheLastSlot(t *testing.T) {
-	set := baseSettings()
-	set.Slots = 2
-	r := newHarness(t, set)
-	r.step(0, fullList(1), ListUpdate{Entries: []Entry{{Endpoint: 7, Destination: 8}}, Form: ListDelta})
-	out := actionsOf[CallOut](r.step(1, r.newMessage(2)))
-	other := r.newMessage(2)
+	settings := baseSettings()
+	settings.Slots = 2
+	h := newHarness(t, settings)
+	h.step(0, fullList(1), ListUpdate{Entries: []Entry{{Endpoint: 7, Destination: 8}}, Form: ListDelta})
+	sends := actionsOf[CallOut](h.step(1, h.newMessage(2)))
+	other := h.newMessage(2)
 	other.Destination = 8
-	out = append(out, actionsOf[CallOut](r.step(1.1, other))...)
-	if len(out) != 2 {
-		t.Fatalf("%d calls out, want both slots taken", len(out))
+	sends = append(sends, actionsOf[CallOut](h.step(1.1, other))...)
+	if len(sends) != 2 {
+		t.Fatalf("%d calls in flight, want 2", len(sends))
 	}
-	if c := actionsOf[Cancel](r.step(12, TimerExpired{})); len(c) != 0 {
-		t.Error("an unsafe call was given up although nobody waited")
+	if c := actionsOf[Cancel](h.step(12, TimerExpired{})); len(c) != 0 {
+		t.Error("an unsafe call was cancelled although no message waited for its slot")
 	}
-	third := r.newMessage(0)
+	third := h.newMessage(0)
 	third.Destination = 8
-	acts := append(r.step(12.1, third), r.step(12.2, TimerExpired{})...)
+	acts := append(h.step(12.1, third), h.step(12.2, TimerExpired{})...)
 	if len(actionsOf[Cancel](acts)) == 0 {
-		t.Error("a silent unsafe call kept the last slot from others")
+		t.Error("an unanswered unsafe call was not cancelled for a message that waits for the last slot")
 	}
 }
 
-// Found by the property test: an endpoint that was not tried while its siblings were out had no budget.
+// Guards against sends without a budget to an endpoint that was not tried while its siblings were ejected.
 func TestEndpointUntriedInOutageSharesTheBudget(t *testing.T) {
-	set := baseSettings()
-	set.Weights = WeightsNominal
-	r := newHarness(t, set)
-	ev := fullList(2)
-	ev.Entries[0].Nominal, ev.Entries[1].Nominal = 4, 4
-	r.step(0, ev)
-	c := actionsOf[CallOut](r.step(1, r.newMessage(0)))[0]
-	r.step(1.1, resultOf(c.ID, c.Endpoint, 0, ConnRefused))
+	settings := baseSettings()
+	settings.Weights = WeightsNominal
+	h := newHarness(t, settings)
+	list := fullList(2)
+	list.Entries[0].Nominal, list.Entries[1].Nominal = 4, 4
+	h.step(0, list)
+	c := actionsOf[CallOut](h.step(1, h.newMessage(0)))[0]
+	h.step(1.1, resultOf(c.ID, c.Endpoint, 0, ConnRefused))
 	sent := 0
 	for i := range 20 {
-		for _, x := range actionsOf[CallOut](r.step(1.2+0.1*float64(i), r.newMessage(0))) {
-			r.sender.endpoints[x.Endpoint].inflight = 0 // only the budget holds
+		for _, call := range actionsOf[CallOut](h.step(1.2+0.1*float64(i), h.newMessage(0))) {
+			h.sender.endpoints[call.Endpoint].inflight = 0 // so that only the budget holds sends back
 			sent++
 		}
 	}
 	if sent > 2 {
-		t.Errorf("%d calls in two seconds to the untried sibling of an endpoint that is out", sent)
+		t.Errorf("got %d calls in two seconds to an untried sibling of an ejected endpoint, want at most 2", sent)
 	}
 }
 
-// Found by the hunt: answers to calls that were under way at the siblings when a destination shut made them look
-// well, and they were sent to without a budget when it opened.
+// Guards against sends without a budget to siblings when a destination is back: answers to calls that were in flight
+// at the siblings when it became unavailable made them look healthy.
 func TestAnswerToOlderCallDoesNotExemptSiblingFromBudget(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(2))
-	a := actionsOf[CallOut](r.step(1, r.newMessage(0)))[0]
-	b := actionsOf[CallOut](r.step(1.1, r.newMessage(0)))[0]
-	shut := resultOf(b.ID, b.Endpoint, 0, Rejected)
-	shut.RetryAfter = fromSeconds(8)
-	r.step(1.2, shut)
-	r.step(1.3, resultOf(a.ID, a.Endpoint, 0, Completed))
-	if x, e := r.sender.endpoints[b.Endpoint], r.sender.endpoints[a.Endpoint]; e.lastHealthyAt >= x.lastFailureAt {
-		t.Error("an answer to an older call shows a sibling to be well")
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(2))
+	a := actionsOf[CallOut](h.step(1, h.newMessage(0)))[0]
+	b := actionsOf[CallOut](h.step(1.1, h.newMessage(0)))[0]
+	rejected := resultOf(b.ID, b.Endpoint, 0, Rejected)
+	rejected.RetryAfter = fromSeconds(8)
+	h.step(1.2, rejected)
+	h.step(1.3, resultOf(a.ID, a.Endpoint, 0, Completed))
+	if e, other := h.sender.endpoints[b.Endpoint], h.sender.endpoints[a.Endpoint]; other.lastHealthyAt >= e.lastFailureAt {
+		t.Error("the answer to an older call marked a sibling as healthy")
 	}
 }
 
 func TestTenantOverQuotaHasLessWorth(t *testing.T) {
-	set := baseSettings()
-	set.Tenants, set.OverShareWorth = []Tenant{{"x", 2}, {"y", 2}}, 0.2
-	r := newHarness(t, set)
+	settings := baseSettings()
+	settings.Tenants, settings.OverShareWorth = []Tenant{{"x", 2}, {"y", 2}}, 0.2
+	h := newHarness(t, settings)
 	for i := range 40 {
-		r.sender.now = fromSeconds(0.1 * float64(i))
-		r.sender.tenantWorthShare(0)
+		h.sender.now = fromSeconds(0.1 * float64(i))
+		h.sender.tenantWorthShare(0)
 	}
-	if a, b := r.sender.tenantWorthShare(0), r.sender.tenantWorthShare(1); a != 0.2 || b != 1 {
-		t.Errorf("ten a second of a quota of two keeps %v, a quiet tenant %v", a, b)
+	if a, b := h.sender.tenantWorthShare(0), h.sender.tenantWorthShare(1); a != 0.2 || b != 1 {
+		t.Errorf("worth share at ten messages a second, quota of two: got %v, want 0.2; for an idle tenant: %v, want 1", a, b)
 	}
 }
 
-// Found on quiet days of many senders: endpoints were full of idle connections.
+// Guards against endpoints filled with idle connections, which many senders with little traffic would keep open.
 func TestManySendersReleaseRarelyUsedConnections(t *testing.T) {
 	for _, senders := range []int{2, manySendersAbove + 1} {
-		set := baseSettings()
-		set.Senders = senders
-		r := newHarness(t, set)
-		r.step(0, fullList(2))
-		c := actionsOf[CallOut](r.step(0.1, r.newMessage(0)))[0]
-		got := actionsOf[Release](r.step(0.2, resultOf(c.ID, c.Endpoint, 0, Completed)))
+		settings := baseSettings()
+		settings.Senders = senders
+		h := newHarness(t, settings)
+		h.step(0, fullList(2))
+		c := actionsOf[CallOut](h.step(0.1, h.newMessage(0)))[0]
+		got := actionsOf[Release](h.step(0.2, resultOf(c.ID, c.Endpoint, 0, Completed)))
 		if (len(got) > 0) != (senders > manySendersAbove) {
-			t.Errorf("%d senders: released %v", senders, got)
+			t.Errorf("%d senders: got releases %v", senders, got)
 		}
 	}
 }
 
-// newLargeFleetHarness makes a sender among many at one destination with a told rate.
+// newLargeFleetHarness returns a sender among many, with one destination whose limit is in the list.
 func newLargeFleetHarness(t *testing.T, senders int, rate float64, seed uint64) *harness {
 	t.Helper()
-	set := baseSettings()
-	set.Senders, set.Weights = senders, WeightsNominal
-	s, err := New(set, seed)
+	settings := baseSettings()
+	settings.Senders, settings.Weights = senders, WeightsNominal
+	s, err := New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &harness{t: t, sender: s}
-	ev := fullList(1)
-	ev.Entries[0].Nominal = rate
-	r.step(0, ev)
-	return r
+	h := &harness{t: t, sender: s}
+	list := fullList(1)
+	list.Entries[0].Nominal = rate
+	h.step(0, list)
+	return h
 }
 
-// Found on big-1: three hundred senders, each with one call in four windows, topple what comes back. Their budgets
-// must add up to what it bears, and not fall together.
+// Guards against an overload of a recovering destination by 300 senders of which each makes one call in four windows.
+// Their budgets must add up to less than what overloads it, and their calls must not come at the same time.
 func TestBudgetsOfManySendersStayWithinTheLimit(t *testing.T) {
 	const senders, rate = 300, 10.0
-	calls := make([]int, 30) // by second after the outage was seen
+	calls := make([]int, 30) // by second
 	for i := range senders {
-		r := newLargeFleetHarness(t, senders, rate, uint64(i))
-		seen := 1 + 5*float64(i)/senders // they see the outage one after the other
-		c := actionsOf[CallOut](r.step(seen, r.newMessage(0)))[0]
-		r.step(seen+0.01, resultOf(c.ID, 1, 0, ConnRefused), r.newMessage(1))
-		for at := seen + 0.1; at < 30; at += 0.1 {
-			for _, x := range actionsOf[CallOut](r.step(at, TimerExpired{})) {
+		h := newLargeFleetHarness(t, senders, rate, uint64(i))
+		outageSeenAt := 1 + 5*float64(i)/senders // the senders see the outage one after the other
+		c := actionsOf[CallOut](h.step(outageSeenAt, h.newMessage(0)))[0]
+		h.step(outageSeenAt+0.01, resultOf(c.ID, 1, 0, ConnRefused), h.newMessage(1))
+		for at := outageSeenAt + 0.1; at < 30; at += 0.1 {
+			for _, call := range actionsOf[CallOut](h.step(at, TimerExpired{})) {
 				calls[int(at)]++
-				r.step(at+0.01, resultOf(x.ID, 1, r.sender.messages[x.ID].tries-1, ConnRefused))
+				h.step(at+0.01, resultOf(call.ID, 1, h.sender.messages[call.ID].tries-1, ConnRefused))
 			}
 		}
 	}
-	set := baseSettings()
-	window := int(set.FallWindow / Second)
+	settings := baseSettings()
+	window := int(settings.FallWindow / Second)
 	for at := 6; at+window <= 20; at++ {
 		sum := 0
 		for _, n := range calls[at : at+window] {
 			sum += n
 		}
-		// Sixty senders a second see it, six times the rate: what adds up is held to that.
-		if most := set.FallMultiple * set.ColdFrom * 60 * 1.5 * float64(window); float64(sum) > most {
-			t.Errorf("second %d: %d calls in a fall window, want at most %.0f", at, sum, most)
+		// 60 senders a second see the outage, six times the rate of the destination: the bound is for that number.
+		if bound := settings.FallMultiple * settings.ColdFrom * 60 * 1.5 * float64(window); float64(sum) > bound {
+			t.Errorf("second %d: got %d calls in one FallWindow, want at most %.0f", at, sum, bound)
 		}
 		if sum > 0 && slices.Max(calls[at:at+window]) == sum && sum > 20 {
-			t.Errorf("second %d: all %d calls at one time", at, sum)
+			t.Errorf("second %d: all %d calls of the window came within one second", at, sum)
 		}
 	}
 }
 
-// A fleet pauses between its calls for the list. While what changed since may count as told, though nothing has told it,
-// nothing goes out: until the next answer, or for a while where none comes. A watch that waits keeps the list fresh.
+// A fleet pauses between its requests for the list. Once a change may count as known that this sender has not received,
+// nothing is sent until the next answer, or for maxStaleListWait without one. An open watch keeps the list fresh.
 func TestNoSendsOnAStaleList(t *testing.T) {
-	set := baseSettings()
-	set.MaxListAge = 7 * Second
-	for _, x := range []struct {
-		watched float64 // when a watch was told to wait; 0 for none
+	settings := baseSettings()
+	settings.MaxListAge = 7 * Second
+	for _, tc := range []struct {
+		watched float64 // when a watch was open; 0 for none
 		at      float64
-		news    Event
+		update  Event
 		sent    int
-	}{{0, 6.9, nil, 1}, {0, 7.1, nil, 0}, {0, 7.1, ListUpdate{Form: ListRequestFailed}, 0}, {0, 7.1, ListUpdate{Form: ListDelta}, 1},
-		{0, 7.1 + seconds(maxStaleListWait), nil, 1}, {2, 20, nil, 1}, {2, 20, ListUpdate{Form: ListRequestFailed}, 1}} {
-		r := newHarness(t, set)
-		r.step(0, fullList(1))
-		if x.watched > 0 {
-			r.step(x.watched, ListUpdate{Form: ListWatchOpen})
+	}{{0, 6.9, nil, 1}, {0, 7.1, nil, 0}, {0, 7.1, ListUpdate{Form: ListRequestFailed}, 0},
+		{0, 7.1, ListUpdate{Form: ListDelta}, 1}, {0, 7.1 + seconds(maxStaleListWait), nil, 1}, {2, 20, nil, 1},
+		{2, 20, ListUpdate{Form: ListRequestFailed}, 1}} {
+		h := newHarness(t, settings)
+		h.step(0, fullList(1))
+		if tc.watched > 0 {
+			h.step(tc.watched, ListUpdate{Form: ListWatchOpen})
 		}
-		evs := []Event{r.newMessage(0)}
-		if x.news != nil {
-			evs = append(evs, x.news)
+		evs := []Event{h.newMessage(0)}
+		if tc.update != nil {
+			evs = append(evs, tc.update)
 		}
-		if n := len(actionsOf[CallOut](r.step(x.at, evs...))); n != x.sent {
-			t.Errorf("%+v: %d sends", x, n)
+		if n := len(actionsOf[CallOut](h.step(tc.at, evs...))); n != tc.sent {
+			t.Errorf("%+v: got %d sends", tc, n)
 		}
 	}
 }
 
-// Found on the full fleet's restarts: a sender that came back sent on its saved list to what had begun to drain while it
-// was away. What discovery would tell counts as told, so nothing goes out before its first answer, nor for long
-// where none comes.
+// Guards against sends to an endpoint that began to drain during a restart: a sender that starts on its saved list
+// counts as knowing what discovery has. Nothing is sent before the first answer, or for maxSavedListWaitMicros
+// without one.
 func TestNoSendsOnASavedList(t *testing.T) {
-	for _, x := range []struct {
-		age  Micros
-		old  bool
-		at   float64
-		news Event
-		sent int
+	for _, tc := range []struct {
+		maxListAge Micros
+		stale      bool
+		at         float64
+		update     Event
+		sent       int
 	}{{7 * Second, true, 0, nil, 0}, {7 * Second, true, 0.1, ListUpdate{Form: ListDelta}, 1},
-		{7 * Second, true, 0.1, ListUpdate{Form: ListRequestFailed}, 1}, {7 * Second, true, seconds(maxSavedListWaitMicros) + 0.01, nil, 1},
+		{7 * Second, true, 0.1, ListUpdate{Form: ListRequestFailed}, 1},
+		{7 * Second, true, seconds(maxSavedListWaitMicros) + 0.01, nil, 1},
 		{7 * Second, false, 0, nil, 1}, {0, true, 0, nil, 1}} {
-		set := baseSettings()
-		set.MaxListAge = x.age
-		r := newHarness(t, set)
+		settings := baseSettings()
+		settings.MaxListAge = tc.maxListAge
+		h := newHarness(t, settings)
 		saved := fullList(1)
-		saved.Form, saved.Stale = ListCached, x.old
-		r.step(0, saved)
-		evs := []Event{r.newMessage(0)}
-		if x.news != nil {
-			evs = append(evs, x.news)
+		saved.Form, saved.Stale = ListCached, tc.stale
+		h.step(0, saved)
+		evs := []Event{h.newMessage(0)}
+		if tc.update != nil {
+			evs = append(evs, tc.update)
 		}
-		if n := len(actionsOf[CallOut](r.step(x.at, evs...))); n != x.sent {
-			t.Errorf("%+v: %d sends", x, n)
+		if n := len(actionsOf[CallOut](h.step(tc.at, evs...))); n != tc.sent {
+			t.Errorf("%+v: got %d sends", tc, n)
 		}
 	}
 }
 
-// A long day brings endpoints that come and go, messages for destinations that nobody lists and ever new order keys:
-// what is no longer of use is dropped, so the tables stay in proportion to what is listed and held.
+// Guards against tables that grow without bound in a long run: with endpoints that come and go, messages for
+// destinations that are not listed and ever new order keys, unused entries must be dropped.
 func TestTablesStayBounded(t *testing.T) {
-	set := baseSettings()
-	set.Classes[0].KeepOrder = true
-	r := newHarness(t, set)
-	r.step(0, fullList(1))
+	settings := baseSettings()
+	settings.Classes[0].KeepOrder = true
+	h := newHarness(t, settings)
+	h.step(0, fullList(1))
 	at := 0.0
 	for i := range 20 * minPruneAbove {
 		at += 1
-		c := NewMessage{ID: fmt.Sprint("x", i), TimeLeft: 2 * Second, Key: fmt.Sprint("k", i), Destination: int64(1000 + i), Tenant: -1}
+		m := NewMessage{ID: fmt.Sprint("x", i), TimeLeft: 2 * Second, Key: fmt.Sprint("k", i), Destination: int64(1000 + i),
+			Tenant: -1}
 		id := EndpointID(1000 + i)
-		r.step(at, c, ListUpdate{Form: ListDelta, Entries: []Entry{{Endpoint: id, Destination: 9, State: Ready}}})
-		r.step(at+0.5, ListUpdate{Form: ListDelta, Entries: []Entry{{Endpoint: id, State: Removed}}})
+		h.step(at, m, ListUpdate{Form: ListDelta, Entries: []Entry{{Endpoint: id, Destination: 9, State: Ready}}})
+		h.step(at+0.5, ListUpdate{Form: ListDelta, Entries: []Entry{{Endpoint: id, State: Removed}}})
 	}
-	r.step(at+10, TimerExpired{})
-	most := 2 * (minPruneAbove + int(idleStateAge/Second))
-	if s := r.sender; len(s.endpoints) > most || len(s.destinations) > most || len(s.destinationOrder) != len(s.destinations) || len(s.orderKeys) > most {
-		t.Errorf("%d endpoints, %d destinations, %d keys", len(s.endpoints), len(s.destinations), len(s.orderKeys))
+	h.step(at+10, TimerExpired{})
+	bound := 2 * (minPruneAbove + int(idleStateAge/Second))
+	if s := h.sender; len(s.endpoints) > bound || len(s.destinations) > bound ||
+		len(s.destinationOrder) != len(s.destinations) || len(s.orderKeys) > bound {
+		t.Errorf("tables not bounded: %d endpoints, %d destinations, %d order keys", len(s.endpoints), len(s.destinations),
+			len(s.orderKeys))
 	}
-	if r.sender.destinations[9] == nil || len(r.sender.destinations[9].endpoints) != 1 {
-		t.Error("what is listed was forgotten")
+	if h.sender.destinations[9] == nil || len(h.sender.destinations[9].endpoints) != 1 {
+		t.Error("the listed destination or its endpoint was dropped")
 	}
 }
 
-// Found on the fleet's days: a clump met the free first sends of eighty senders, and since refused calls use the limit
-// up, next to nothing was taken for seconds. Their calls must add up to the limit, and with all of it left none waits
-// past its aim.
+// Guards against 80 senders that exceed a limit together: each sent its part of a burst at once, and since rejected
+// calls use the limit up as well, almost nothing was accepted for seconds. The calls of all must stay within the limit,
+// and with all of it left no message waits past its aim.
 func TestManySendersShareALimit(t *testing.T) {
 	const senders, rate = 80, 40.0
 	calls := 0
 	for i := range senders {
-		set := baseSettings()
-		set.Senders, set.Weights, set.LimitLeftIndex, set.LimitIndex = senders, WeightsNominal, 0, 1
-		r := newHarness(t, set)
-		r.sender.rng = rand.New(rand.NewPCG(uint64(i), 0))
-		ev := fullList(1)
-		ev.Entries[0].Nominal = rate
-		r.step(0, ev)
-		told := func(c CallOut, left float64) AttemptResult {
-			x := resultOf(c.ID, 1, 0, Completed)
-			x.Load = []float64{left, rate}
-			return x
+		settings := baseSettings()
+		settings.Senders, settings.Weights, settings.LimitLeftIndex, settings.LimitIndex = senders, WeightsNominal, 0, 1
+		h := newHarness(t, settings)
+		h.sender.rng = rand.New(rand.NewPCG(uint64(i), 0))
+		list := fullList(1)
+		list.Entries[0].Nominal = rate
+		h.step(0, list)
+		answer := func(c CallOut, limitLeft float64) AttemptResult {
+			result := resultOf(c.ID, 1, 0, Completed)
+			result.Load = []float64{limitLeft, rate}
+			return result
 		}
-		sent := func(from, to float64, left float64) (n int) {
+		sendsBetween := func(from, to float64, limitLeft float64) (n int) {
 			for at := from; at < to; at += 0.05 {
-				for _, c := range actionsOf[CallOut](r.step(at, TimerExpired{})) {
+				for _, c := range actionsOf[CallOut](h.step(at, TimerExpired{})) {
 					n++
-					r.step(at+0.01, told(c, left))
+					h.step(at+0.01, answer(c, limitLeft))
 				}
 			}
 			return n
 		}
 		for range 6 {
-			r.step(0, r.newMessage(0))
+			h.step(0, h.newMessage(0))
 		}
-		calls += sent(0.05, 4, 0)
-		for _, c := range actionsOf[CallOut](r.step(40, r.newMessage(0))) {
-			r.step(40.1, told(c, 1))
+		calls += sendsBetween(0.05, 4, 0)
+		for _, c := range actionsOf[CallOut](h.step(40, h.newMessage(0))) {
+			h.step(40.1, answer(c, 1))
 		}
-		r.step(50, r.newMessage(0), r.newMessage(0))
-		r.step(50, r.newMessage(0))
-		if n := sent(50, 51, 1); n == 0 {
-			t.Errorf("sender %d: waits past its aim though all of the limit is left", i)
+		h.step(50, h.newMessage(0), h.newMessage(0))
+		h.step(50, h.newMessage(0))
+		if n := sendsBetween(50, 51, 1); n == 0 {
+			t.Errorf("sender %d: nothing sent within the aim though all of the limit is left", i)
 		}
 	}
-	if most := rate*4 + senders; float64(calls) > most {
-		t.Errorf("%d calls in 4 s of a clump under a limit of %.0f a second, want at most %.0f", calls, rate, most)
+	if bound := rate*4 + senders; float64(calls) > bound {
+		t.Errorf("got %d calls in 4 s of a burst under a limit of %.0f a second, want at most %.0f", calls, rate, bound)
 	}
 }
 
-// Found on the later gas scheduling: at a limit that counts refusals, calls tried again at once kept it used up.
+// Guards against rejected calls that are retried at once: where rejections count against the limit, they keep it used
+// up.
 func TestManySendersDelayRejectedMessages(t *testing.T) {
-	soonest, latest := 60.0, 0.0
+	earliest, latest := 60.0, 0.0
 	for i := range 40 {
-		r := newLargeFleetHarness(t, 100, 5, uint64(i))
-		c := actionsOf[CallOut](r.step(1, r.newMessage(1)))[0]
-		r.step(1.1, resultOf(c.ID, 1, 0, Rejected))
+		h := newLargeFleetHarness(t, 100, 5, uint64(i))
+		c := actionsOf[CallOut](h.step(1, h.newMessage(1)))[0]
+		h.step(1.1, resultOf(c.ID, 1, 0, Rejected))
 		for at := 1.2; at < 13; at += 0.05 {
-			if len(actionsOf[CallOut](r.step(at, TimerExpired{}))) > 0 {
-				soonest, latest = min(soonest, at), max(latest, at)
+			if len(actionsOf[CallOut](h.step(at, TimerExpired{}))) > 0 {
+				earliest, latest = min(earliest, at), max(latest, at)
 				break
 			}
 		}
 	}
-	if soonest < 1.5 || latest-soonest < 2 {
-		t.Errorf("tried again between %.2f and %.2f s; want rests that spread", soonest, latest)
+	if earliest < 1.5 || latest-earliest < 2 {
+		t.Errorf("retries came between %.2f and %.2f s, want the first after 1.5 s and a spread of 2 s", earliest, latest)
 	}
 }
 
-// With most calls of a kind turned away, only messages of more than mean worth are tried again.
+// With a high share of calls of a kind rejected, only messages of more than mean worth are retried.
 func TestHighRejectionRetriesOnlyWorthyMessages(t *testing.T) {
 	ended := [3]bool{}
 	for class := range ended {
-		r := newLargeFleetHarness(t, 100, 5, 1)
-		r.sender.rejectedShare[0], r.sender.meanWorth, r.sender.lastSeq = 0.25, 2, 99
-		c := actionsOf[CallOut](r.step(1, r.newMessage(class)))[0]
-		ended[class] = len(actionsOf[Fail](r.step(1.1, resultOf(c.ID, 1, 0, Rejected)))) > 0
+		h := newLargeFleetHarness(t, 100, 5, 1)
+		h.sender.rejectedShare[0], h.sender.meanWorth, h.sender.lastSeq = 0.25, 2, 99
+		c := actionsOf[CallOut](h.step(1, h.newMessage(class)))[0]
+		ended[class] = len(actionsOf[Fail](h.step(1.1, resultOf(c.ID, 1, 0, Rejected)))) > 0
 	}
 	if ended != [3]bool{true, true, false} {
-		t.Errorf("ended by class: %v", ended)
+		t.Errorf("messages ended, by class: got %v, want the first two", ended)
 	}
 }
 
-// A call that finds no room for its connection never came to the limit: it slows nobody down and is tried again soon,
-// while a refusal above the limit halves the pace, and with most calls turned away the message is given up.
+// A call rejected for want of room for its connection was not checked against the limit: the pace stays and the message
+// is retried soon. A rejection above the limit halves the pace, and with a high share of calls rejected the message
+// fails.
 func TestConnectionRejectionKeepsThePace(t *testing.T) {
-	for _, x := range []struct {
-		load []float64
-		slow bool
+	for _, tc := range []struct {
+		load      []float64
+		overLimit bool
 	}{{nil, false}, {[]float64{0, 5}, true}} {
-		set := baseSettings()
-		set.Senders, set.Weights, set.LimitLeftIndex, set.LimitIndex = 20, WeightsNominal, 0, 1
-		r := newHarness(t, set)
-		ev := fullList(1)
-		ev.Entries[0].Nominal = 100
-		r.step(0, ev)
-		r.sender.rejectedShare[0], r.sender.meanWorth, r.sender.lastSeq = 0.25, 2, 99
-		c := actionsOf[CallOut](r.step(1, r.newMessage(0)))[0]
-		pace := r.sender.endpoints[1].limiter.pace
-		end := resultOf(c.ID, 1, 0, Rejected)
-		end.Load = x.load
-		ended := len(actionsOf[Fail](r.step(1.02, end))) > 0
-		again := len(actionsOf[CallOut](r.step(1.7, TimerExpired{}))) > 0
-		if l := r.sender.endpoints[1].limiter; ended != x.slow || again == x.slow || (l.pace != pace) != x.slow {
-			t.Errorf("report %v: ended %v, sent again %v, pace %v -> %v", x.load, ended, again, pace, l.pace)
+		settings := baseSettings()
+		settings.Senders, settings.Weights, settings.LimitLeftIndex, settings.LimitIndex = 20, WeightsNominal, 0, 1
+		h := newHarness(t, settings)
+		list := fullList(1)
+		list.Entries[0].Nominal = 100
+		h.step(0, list)
+		h.sender.rejectedShare[0], h.sender.meanWorth, h.sender.lastSeq = 0.25, 2, 99
+		c := actionsOf[CallOut](h.step(1, h.newMessage(0)))[0]
+		pace := h.sender.endpoints[1].limiter.pace
+		rejected := resultOf(c.ID, 1, 0, Rejected)
+		rejected.Load = tc.load
+		ended := len(actionsOf[Fail](h.step(1.02, rejected))) > 0
+		resent := len(actionsOf[CallOut](h.step(1.7, TimerExpired{}))) > 0
+		if l := h.sender.endpoints[1].limiter; ended != tc.overLimit || resent == tc.overLimit ||
+			(l.pace != pace) != tc.overLimit {
+			t.Errorf("load report %v: ended %v, sent again %v, pace %v before and %v after",
+				tc.load, ended, resent, pace, l.pace)
 		}
 	}
 }
 
-// New connections cost time and points: among many senders the endpoint that still has one comes first.
+// New connections cost time and points: with many senders the endpoint that has an idle connection comes first.
 func TestManySendersPreferIdleConnections(t *testing.T) {
 	for _, senders := range []int{2, manySendersAbove + 1} {
-		set := baseSettings()
-		set.Senders, set.ConnIdle, set.ConnCalls, set.ConnPrice = senders, 10*Second, 1, 2*highConnPrice
-		r := newHarness(t, set)
-		r.sender.newConnsAccepted[0] = 1 << 30 // this kind has room
-		r.step(0, fullList(3))
+		settings := baseSettings()
+		settings.Senders, settings.ConnIdle, settings.ConnCalls, settings.ConnPrice = senders, 10*Second, 1, 2*highConnPrice
+		h := newHarness(t, settings)
+		h.sender.newConnsAccepted[0] = 1 << 30 // this kind has room for connections
+		h.step(0, fullList(3))
 		used := map[EndpointID]bool{}
 		for i := range 6 {
-			c := actionsOf[CallOut](r.step(float64(i)+1, r.newMessage(0)))[0]
-			acts := r.step(float64(i)+1.1, resultOf(c.ID, c.Endpoint, 0, Completed))
+			c := actionsOf[CallOut](h.step(float64(i)+1, h.newMessage(0)))[0]
+			acts := h.step(float64(i)+1.1, resultOf(c.ID, c.Endpoint, 0, Completed))
 			if len(actionsOf[Release](acts)) > 0 {
-				t.Error("a connection was given back though new ones are dear")
+				t.Error("a connection was released though new ones are expensive")
 			}
 			used[c.Endpoint] = true
 		}
 		if (len(used) == 1) != (senders > manySendersAbove) {
-			t.Errorf("%d senders: %d endpoints used", senders, len(used))
+			t.Errorf("%d senders: got %d endpoints used, want 1 only with many senders", senders, len(used))
 		}
 	}
 }
 
-// Among many senders idle connections fill an endpoint, and each further one is turned away, unseen. Who keeps one does
-// not meet that: a fleet must not keep all at once, and after a refusal for want of room none, but go on after refusals
-// above a limit, which say nothing of connections.
+// The idle connections of many senders fill an endpoint, which rejects each further one unexamined. A sender that keeps
+// its connection does not see that. A fleet must not keep all connections from the start, and none after a rejection
+// for want of room. Rejections above a limit say nothing of connections and change nothing.
 func TestConnectionsReleasedWhereKindIsFull(t *testing.T) {
-	limit := AttemptResult{Outcome: Rejected, Load: []float64{0, 50}}
-	for _, x := range []struct {
+	limitRejection := AttemptResult{Outcome: Rejected, Load: []float64{0, 50}}
+	for _, tc := range []struct {
 		senders int
 		after   AttemptResult
-		least   [3]int // kept of 40 at the start, later on, and after that answer
-		most    [3]int
+		minKept [3]int // connections kept of 40: at the start, later, and after that result
+		maxKept [3]int
 	}{
 		{2, AttemptResult{Outcome: Rejected}, [3]int{40, 40, 40}, [3]int{40, 40, 40}},
 		{manySendersAbove + 1, AttemptResult{Outcome: Rejected}, [3]int{0, 30, 0}, [3]int{8, 40, 0}},
-		{manySendersAbove + 1, limit, [3]int{0, 30, 30}, [3]int{8, 40, 40}},
+		{manySendersAbove + 1, limitRejection, [3]int{0, 30, 30}, [3]int{8, 40, 40}},
 	} {
 		kept := [3]int{}
 		for seed := range uint64(40) {
-			set := baseSettings()
-			set.Senders, set.ConnIdle, set.ConnCalls, set.ConnPrice = x.senders, 10*Second, 1, 2*highConnPrice
-			set.LimitLeftIndex, set.LimitIndex = 0, 1
-			r := newHarness(t, set)
-			r.sender.rng = rand.New(rand.NewPCG(seed, 0))
-			r.step(0, fullList(1))
-			call := func(at float64, end AttemptResult) (given bool) {
+			settings := baseSettings()
+			settings.Senders, settings.ConnIdle, settings.ConnCalls, settings.ConnPrice =
+				tc.senders, 10*Second, 1, 2*highConnPrice
+			settings.LimitLeftIndex, settings.LimitIndex = 0, 1
+			h := newHarness(t, settings)
+			h.sender.rng = rand.New(rand.NewPCG(seed, 0))
+			h.step(0, fullList(1))
+			call := func(at float64, result AttemptResult) (released bool) {
 				t.Helper()
-				c := actionsOf[CallOut](r.step(at, r.newMessage(0)))[0]
-				end.ID, end.Endpoint, end.MessageEnded = c.ID, c.Endpoint, end.Outcome == Completed
-				acts := r.step(at+0.1, end)
-				if end.Outcome == Rejected {
-					r.step(at+0.2, ClientGone{c.ID})
+				c := actionsOf[CallOut](h.step(at, h.newMessage(0)))[0]
+				result.ID, result.Endpoint, result.MessageEnded = c.ID, c.Endpoint, result.Outcome == Completed
+				acts := h.step(at+0.1, result)
+				if result.Outcome == Rejected {
+					h.step(at+0.2, ClientGone{c.ID})
 				}
 				return len(actionsOf[Release](acts)) > 0
 			}
-			done := AttemptResult{Outcome: Completed, Duration: fromSeconds(0.1), Load: []float64{1, 50}}
-			count := func(i int, given bool) {
-				if !given {
+			completed := AttemptResult{Outcome: Completed, Duration: fromSeconds(0.1), Load: []float64{1, 50}}
+			count := func(i int, released bool) {
+				if !released {
 					kept[i]++
 				}
 			}
-			count(0, call(1, done))
+			count(0, call(1, completed))
 			at := 20.0
 			for range 60 {
-				call(at, done)
-				at += 20 // past the idle time: each needs a new connection
+				call(at, completed)
+				at += 20 // longer than ConnIdle: each call needs a new connection
 			}
-			count(1, call(at, done))
-			call(at+20, x.after)
-			count(2, call(at+40, done))
+			count(1, call(at, completed))
+			call(at+20, tc.after)
+			count(2, call(at+40, completed))
 		}
 		for i, n := range kept {
-			if n < x.least[i] || n > x.most[i] {
-				t.Errorf("%d senders, %+v: kept %v", x.senders, x.after, kept)
+			if n < tc.minKept[i] || n > tc.maxKept[i] {
+				t.Errorf("%d senders, %+v: got %v connections kept", tc.senders, tc.after, kept)
 				break
 			}
 		}
 	}
 }
 
-// Found on a drawn day (fast errors, head office): senders that rested after each refusal came back too early, in total,
-// to a destination that was shut. Among many senders two refusals in a row are enough.
+// Guards against many senders whose calls, in total, return too early to a destination that rejects everything: each
+// sender waited after every rejection but did not take them for an outage. With many senders two rejections in a row
+// are enough for that.
 func TestManySendersTakeTwoRejectionsForAnOutage(t *testing.T) {
 	for _, senders := range []int{2, 100} {
-		r := newLargeFleetHarness(t, senders, 10, 1)
-		acts := r.step(1, r.newMessage(2))
+		h := newLargeFleetHarness(t, senders, 10, 1)
+		acts := h.step(1, h.newMessage(2))
 		for n, at := 0, 1.0; n < 2; at += 0.1 {
 			for _, c := range actionsOf[CallOut](acts) {
 				n++
-				r.step(at+0.01, resultOf(c.ID, 1, r.sender.messages[c.ID].tries-1, Rejected))
+				h.step(at+0.01, resultOf(c.ID, 1, h.sender.messages[c.ID].tries-1, Rejected))
 			}
-			acts = r.step(at+0.1, TimerExpired{})
-			r.sender.endpoints[1].limiter.firstRejectedAt -= fromSeconds(0.1) // the rests differ: the span is not what is tested
+			acts = h.step(at+0.1, TimerExpired{})
+			// The waits differ, and the span of the rejections is not under test.
+			h.sender.endpoints[1].limiter.firstRejectedAt -= fromSeconds(0.1)
 		}
-		if cold := r.sender.endpoints[1].recovering; cold != (senders > manySendersAbove) {
-			t.Errorf("%d senders: cold %v after two refusals", senders, cold)
+		if recovering := h.sender.endpoints[1].recovering; recovering != (senders > manySendersAbove) {
+			t.Errorf("%d senders: got recovering %v after two rejections", senders, recovering)
 		}
 	}
 }
 
-// Where the network breaks calls now and then at all endpoints alike, a break or two in a row is no outage: the
-// endpoint goes on getting messages, unsafe ones too. A run too long for chance is one.
+// Guards against endpoints ejected for chance failures. Where the network breaks calls now and then at all endpoints
+// alike, one or two failures in a row are no outage, and the endpoint still gets messages, unsafe ones too. A run of
+// failures too long for chance is an outage.
 func TestChanceFailuresAreNoOutage(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	r.step(0, fullList(1))
+	h := newHarness(t, baseSettings())
+	h.step(0, fullList(1))
 	at := 0.0
-	send := func(class int, o Outcome) {
+	send := func(class int, outcome Outcome) {
 		t.Helper()
 		at += 0.5
-		c := r.newMessage(class)
-		acts := r.step(at, c)
+		m := h.newMessage(class)
+		acts := h.step(at, m)
 		if n := len(actionsOf[CallOut](acts)); n != 1 {
-			t.Fatalf("at %.1f s: %d sends for a new message of class %d, want one at once", at, n, class)
+			t.Fatalf("at %.1f s: got %d sends for a new message of class %d, want one at once", at, n, class)
 		}
-		r.step(at+0.1, resultOf(c.ID, 1, 0, o), ClientGone{c.ID})
+		h.step(at+0.1, resultOf(m.ID, 1, 0, outcome), ClientGone{m.ID})
 	}
-	for i := range 200 { // every tenth call breaks
-		o := Completed
+	for i := range 200 { // every tenth call fails
+		outcome := Completed
 		if i%10 == 9 {
-			o = []Outcome{ConnBroken, ConnRefused}[i/10%2]
+			outcome = []Outcome{ConnBroken, ConnRefused}[i/10%2]
 		}
-		send(i%2*2, o)
+		send(i%2*2, outcome)
 	}
 	send(0, ConnBroken)
-	send(0, ConnBroken) // two in a row, the share being what it is
+	send(0, ConnBroken) // two in a row, with this share of chance failures
 	send(0, Completed)
-	if e := r.sender.endpoints[1]; e.ejected || e.recovering {
-		t.Errorf("taken for out: suspect %v, cold %v", e.ejected, e.recovering)
+	if e := h.sender.endpoints[1]; e.ejected || e.recovering {
+		t.Errorf("two failures in a row: got ejected %v, recovering %v, want neither", e.ejected, e.recovering)
 	}
-	for range 12 { // held messages that nobody wants any more keep the rig simple: each is sent once
+	for range 12 { // the client of each message is gone, so that it is sent once only
 		at += 3
-		c := r.newMessage(0)
-		for _, a := range actionsOf[CallOut](r.step(at, c)) {
-			r.step(at+0.1, resultOf(a.ID, 1, 0, ConnBroken), ClientGone{a.ID})
+		m := h.newMessage(0)
+		for _, a := range actionsOf[CallOut](h.step(at, m)) {
+			h.step(at+0.1, resultOf(a.ID, 1, 0, ConnBroken), ClientGone{a.ID})
 		}
 	}
-	e := r.sender.endpoints[1]
+	e := h.sender.endpoints[1]
 	if !e.ejected || !e.recovering {
-		t.Fatal("not taken for out after a dozen breaks in a row")
+		t.Fatal("not ejected and recovering after a dozen failures in a row")
 	}
-	for i := 0; e.ejected; i++ { // it answers its next trial
+	for i := 0; e.ejected; i++ { // the endpoint answers its next trial
 		at += 3
-		c := r.newMessage(0)
-		for _, a := range actionsOf[CallOut](r.step(at, c)) {
-			r.step(at+0.1, resultOf(a.ID, 1, 0, Completed))
+		m := h.newMessage(0)
+		for _, a := range actionsOf[CallOut](h.step(at, m)) {
+			h.step(at+0.1, resultOf(a.ID, 1, 0, Completed))
 		}
 		if i > 9 {
-			t.Fatal("an answer to a trial did not bring it back")
+			t.Fatal("the answer to a trial did not end the ejection")
 		}
 	}
 	at += 3
-	c := r.newMessage(0)
-	for _, a := range actionsOf[CallOut](r.step(at, c)) {
-		r.step(at+0.1, resultOf(a.ID, 1, 0, ConnBroken), ClientGone{c.ID})
+	m := h.newMessage(0)
+	for _, a := range actionsOf[CallOut](h.step(at, m)) {
+		h.step(at+0.1, resultOf(a.ID, 1, 0, ConnBroken), ClientGone{m.ID})
 	}
 	if e.lastFailureAt < fromSeconds(at) {
-		t.Fatal("nothing was sent after its return")
+		t.Fatal("nothing was sent after the ejection")
 	}
 	if e.ejected {
-		t.Error("out again at the first break after its return")
+		t.Error("ejected again at the first failure after its return")
 	}
 }
 
-// A fifth of all calls break by chance, at six endpoints alike: none has an outage, so none is taken out.
+// Guards against ejections where no endpoint has an outage: a fifth of all calls fail by chance at six endpoints alike.
 func TestFrequentChanceFailuresAreNoOutage(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	ev := fullList(6)
-	for i := range ev.Entries {
-		ev.Entries[i].Destination = int64(i)
+	h := newHarness(t, baseSettings())
+	list := fullList(6)
+	for i := range list.Entries {
+		list.Entries[i].Destination = int64(i)
 	}
-	r.step(0, ev)
+	h.step(0, list)
 	rnd := rand.New(rand.NewPCG(3, 3))
-	out := 0
+	ejections := 0
 	for i := range 1200 {
 		at := 1 + 0.05*float64(i)
-		c := r.newMessage(0)
-		c.Destination = int64(i % 6)
-		for _, a := range actionsOf[CallOut](r.step(at, c)) {
-			o := Completed
+		m := h.newMessage(0)
+		m.Destination = int64(i % 6)
+		for _, a := range actionsOf[CallOut](h.step(at, m)) {
+			outcome := Completed
 			if i > 200 && rnd.IntN(5) == 0 {
-				o = ConnBroken
+				outcome = ConnBroken
 			}
-			acts := r.step(at+0.01, resultOf(a.ID, a.Endpoint, r.sender.messages[a.ID].tries-1, o), ClientGone{a.ID})
+			acts := h.step(at+0.01, resultOf(a.ID, a.Endpoint, h.sender.messages[a.ID].tries-1, outcome), ClientGone{a.ID})
 			for _, l := range actionsOf[Log](acts) {
 				if strings.Contains(l.Text, "out:") {
-					out++
+					ejections++
 				}
 			}
 		}
 	}
-	if out > 1 { // one may be the first to tell that breaks have become usual
-		t.Errorf("endpoints were taken out %d times", out)
+	if ejections > 1 { // the first may come before the share of chance failures is known
+		t.Errorf("got %d ejections, want at most one", ejections)
 	}
 }
 
-// A told limit is for all senders together: one of two that takes it whole makes the destination refuse both.
+// A known limit is for all senders together: if one of two uses all of it, the destination rejects calls of both.
 func TestKnownLimitIsSharedBySenders(t *testing.T) {
-	set := baseSettings()
-	set.Weights, set.Slots, set.MaxOpen = WeightsNominal, 200, 200
-	r := newHarness(t, set)
-	ev := fullList(1)
-	ev.Entries[0].Nominal = 20
-	r.step(0, ev)
-	var clump []Event
+	settings := baseSettings()
+	settings.Weights, settings.Slots, settings.MaxOpen = WeightsNominal, 200, 200
+	h := newHarness(t, settings)
+	list := fullList(1)
+	list.Entries[0].Nominal = 20
+	h.step(0, list)
+	var burst []Event
 	for range 100 {
-		clump = append(clump, r.newMessage(0))
+		burst = append(burst, h.newMessage(0))
 	}
 	sent := 0
 	for at := 1.0; at < 4; at += 0.01 {
-		for _, a := range actionsOf[CallOut](r.step(at, clump...)) {
+		for _, a := range actionsOf[CallOut](h.step(at, burst...)) {
 			sent++
-			r.step(at, resultOf(a.ID, 1, 0, Completed))
+			h.step(at, resultOf(a.ID, 1, 0, Completed))
 		}
-		clump = nil
+		burst = nil
 	}
-	if sent < 30 || sent > 45 { // three seconds of half the limit, with room for an uneven share and a burst
-		t.Errorf("%d calls in three seconds of a limit of 20 that two senders share", sent)
+	if sent < 30 || sent > 45 { // 30 are three seconds of half the limit; the rest is room for an uneven share and a burst
+		t.Errorf("got %d calls in three seconds of a limit of 20 that two senders share, want 30 to 45", sent)
 	}
 }
 
-// What an operator takes out gets nothing, whatever the list says, and comes back cold.
+// An endpoint that an operator bans gets nothing, whatever the list says, and is recovering after the ban.
 func TestBannedEndpointGetsNothing(t *testing.T) {
-	set := baseSettings()
-	set.Weights = WeightsNominal
-	r := newHarness(t, set)
+	settings := baseSettings()
+	settings.Weights = WeightsNominal
+	h := newHarness(t, settings)
 	list := func(n int) ListUpdate {
-		ev := fullList(n)
-		for i := range ev.Entries {
-			ev.Entries[i].Nominal = 100
+		update := fullList(n)
+		for i := range update.Entries {
+			update.Entries[i].Nominal = 100
 		}
-		return ev
+		return update
 	}
-	r.step(0, Ban{Endpoint: 1}, list(2)) // not listed yet
+	h.step(0, Ban{Endpoint: 1}, list(2)) // banned before it is listed
 	send := func(at float64, evs ...Event) (to []EndpointID) {
 		t.Helper()
-		c := r.newMessage(0)
-		for _, a := range actionsOf[CallOut](r.step(at, append(evs, c)...)) {
+		m := h.newMessage(0)
+		for _, a := range actionsOf[CallOut](h.step(at, append(evs, m)...)) {
 			to = append(to, a.Endpoint)
-			r.step(at, resultOf(a.ID, a.Endpoint, 0, Completed))
+			h.step(at, resultOf(a.ID, a.Endpoint, 0, Completed))
 		}
 		return to
 	}
 	for i := range 4 {
 		if to := send(0.5+float64(i), list(2)); len(to) != 1 || to[0] != 2 {
-			t.Fatalf("sent to %v", to)
+			t.Fatalf("sent to %v, want endpoint 2 only", to)
 		}
 	}
-	gone := ListUpdate{Entries: []Entry{{Endpoint: 1, Destination: 9, State: Removed}}}
-	if to := send(5, gone, ListUpdate{Entries: []Entry{{Endpoint: 1, Destination: 9}}}); len(to) != 1 || to[0] != 2 {
-		t.Fatalf("after a return sent to %v", to)
+	removed := ListUpdate{Entries: []Entry{{Endpoint: 1, Destination: 9, State: Removed}}}
+	if to := send(5, removed, ListUpdate{Entries: []Entry{{Endpoint: 1, Destination: 9}}}); len(to) != 1 || to[0] != 2 {
+		t.Fatalf("after endpoint 1 was removed and listed again: sent to %v, want endpoint 2 only", to)
 	}
-	r.step(6, Ban{Endpoint: 1}, Unban{Endpoint: 1})
-	if e := r.sender.endpoints[1]; !e.recovering || e.ejected || e.returnedAt != fromSeconds(6) {
-		t.Errorf("put back: cold %v, suspect %v, back at %v", e.recovering, e.ejected, e.returnedAt)
+	h.step(6, Ban{Endpoint: 1}, Unban{Endpoint: 1})
+	if e := h.sender.endpoints[1]; !e.recovering || e.ejected || e.returnedAt != fromSeconds(6) {
+		t.Errorf("after the unban: got recovering %v, ejected %v, returned at %v", e.recovering, e.ejected, e.returnedAt)
 	}
 	got := map[EndpointID]bool{}
 	for i := range 2 {
-		for _, ep := range send(7 + float64(i)) {
-			got[ep] = true
+		for _, endpoint := range send(7 + float64(i)) {
+			got[endpoint] = true
 		}
 	}
 	if !got[1] {
-		t.Errorf("nothing sent to what was put back: %v", got)
+		t.Errorf("nothing sent to endpoint 1 after the unban: got %v", got)
 	}
 }
 
-// With its one endpoint taken out a message waits, and one whose time runs out is returned.
+// A message waits while the only endpoint is banned, and is sent after the unban.
 func TestMessageWaitsWhileAllEndpointsAreBanned(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	c := r.newMessage(2)
-	if acts := r.step(0, fullList(1), Ban{Endpoint: 1}, c); len(actionsOf[CallOut](acts)) != 0 {
-		t.Fatal("sent")
+	h := newHarness(t, baseSettings())
+	m := h.newMessage(2)
+	if acts := h.step(0, fullList(1), Ban{Endpoint: 1}, m); len(actionsOf[CallOut](acts)) != 0 {
+		t.Fatal("message sent to a banned endpoint")
 	}
-	if acts := r.step(1, Unban{Endpoint: 1}); len(actionsOf[CallOut](acts)) != 1 {
-		t.Error("not sent once put back")
+	if acts := h.step(1, Unban{Endpoint: 1}); len(actionsOf[CallOut](acts)) != 1 {
+		t.Error("message not sent after the unban")
 	}
 }
 
-// A move of discovery ends the pause after a failed call, however long; with a watch out there is none to end.
+// A new address of discovery ends the delay after a failed list request, however long. With a watch open there is no
+// delay to end.
 func TestDiscoveryMoveEndsTheListRetryDelay(t *testing.T) {
-	set := baseSettings()
-	set.Senders = 300
-	r := newHarness(t, set)
-	r.step(0, fullList(1))
-	if n := len(actionsOf[Listen](r.step(0.1, DiscoveryMoved{}))); n != 0 {
-		t.Error("asked twice: a watch is out")
-	}
-	r.step(1, ListUpdate{Form: ListRequestFailed})
-	if n := len(actionsOf[Listen](r.step(1.5, TimerExpired{}))); n != 0 {
-		t.Fatal("no pause after a failed call")
-	}
-	if n := len(actionsOf[Listen](r.step(1.6, DiscoveryMoved{}))); n != 1 {
-		t.Error("the new address is not asked at once")
+	settings := baseSettings()
+	settings.Senders = 300
+	h := newHarness(t, settings)
+	h.step(0, fullList(1))
+	if n := len(actionsOf[Listen](h.step(0.1, DiscoveryMoved{}))); n != 0 {
+		t.Error("the list was requested again while a request is open")
+	}
+	h.step(1, ListUpdate{Form: ListRequestFailed})
+	if n := len(actionsOf[Listen](h.step(1.5, TimerExpired{}))); n != 0 {
+		t.Fatal("no delay after a failed list request")
+	}
+	if n := len(actionsOf[Listen](h.step(1.6, DiscoveryMoved{}))); n != 1 {
+		t.Error("the list was not requested from the new address at once")
 	}
 }
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -6,7 +6,7 @@
 	"crossdeal/logic"
 )
 
-// A message from arrival through a refusal with a wait to delivery.
+// A message that is rejected with a retry-after time, waits for it, and is delivered at the second attempt.
 func Example() {
 	const second = logic.Second
 	sender, err := logic.New(logic.Settings{
@@ -29,7 +29,7 @@
 	show(0, logic.ListUpdate{Form: logic.ListFull, Entries: []logic.Entry{{Endpoint: 7, Destination: 3}}})
 	show(1*second, logic.NewMessage{ID: "n1", TimeLeft: 20 * second, Destination: 3, Tenant: -1})
 	show(1100000, logic.AttemptResult{ID: "n1", Endpoint: 7, Attempt: 0, Outcome: logic.Rejected, RetryAfter: second / 2})
-	show(1500000, logic.TimerExpired{}) // the wait is not over: nothing is sent
+	show(1500000, logic.TimerExpired{}) // the retry-after time is not over: nothing is sent
 	show(2200000, logic.TimerExpired{})
 	show(2400000, logic.AttemptResult{ID: "n1", Endpoint: 7, Attempt: 1, Outcome: logic.Completed, MessageEnded: true})
 	fmt.Println("delivered")
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -10,47 +10,48 @@
 	"testing"
 )
 
-// Many real deciders side by side under one event-driven clock, against one destination that is down for a while and
-// comes back cold. What all of them send together is held against what topples it, in every window.
+// The fleet tests run many Senders under one event-driven clock against one destination that has an outage and is
+// recovering afterwards. What all send together is checked, in every window, against what overloads the destination.
 
-var fleetSeeds = flag.Int("fleetseeds", 1, "seeds of each deployment of the fleet tests")
+var fleetSeeds = flag.Int("fleetseeds", 1, "number of seeds for each deployment of the fleet tests")
 
-// fault is how the destination is down.
+// fault is the way in which the destination fails during its outage.
 type fault int
 
 const (
 	faultHang fault = iota
 	faultRefuse
 	faultReset
-	faultReject // turns all away unseen
-	faultError  // four calls in five
-	faultNone   // not at all
+	faultReject // rejects all calls unexamined
+	faultError  // answers four calls in five with an error
+	faultNone   // no outage
 )
 
-// fleetCase is one deployment and its day. What is drawn from the seed is not in it.
+// fleetCase is one deployment and its load and faults. The rest is drawn from the seed.
 type fleetCase struct {
 	senders, endpoints   int
-	limitSource          int // how the limit is told: 0 not, 1 in the list, 2 in the list and with each answer
+	limitSource          int // where senders learn the limit: 0 nowhere, 1 from the list, 2 from the list and each answer
 	fault                fault
 	unevenLoad, restarts bool
 	ruleIndex            int // index of fleetRules
 	limitRPS             float64
-	loadShare            float64 // traffic over the limit; 0: drawn
-	chanceFailureRate    float64 // share of calls that break by chance
-	firstEndpointOnly    bool    // only the first endpoint is down, and the others take all that the limit allows
+	loadShare            float64 // traffic as a share of the limit; 0: drawn from the seed
+	chanceFailureRate    float64 // share of calls that fail by chance
+	firstEndpointOnly    bool    // only the first endpoint has the outage, and the others take all that the limit allows
 	seed                 uint64
 }
 
 func (c fleetCase) String() string {
-	return fmt.Sprintf("%d senders, %d endpoints, %s, %s, limit %.0f, rules %d, uneven %v, restarts %v, seed %d", c.senders,
-		c.endpoints, []string{"no limit told", "limit in the list", "limit in answers"}[c.limitSource],
-		[]string{"hangs", "refuses", "resets", "shuts", "fails", "well"}[c.fault], c.limitRPS, c.ruleIndex, c.unevenLoad, c.restarts, c.seed)
+	return fmt.Sprintf("%d senders, %d endpoints, %s, %s, limit %.0f, rules %d, uneven %v, restarts %v, seed %d",
+		c.senders, c.endpoints, []string{"no limit known", "limit in the list", "limit in answers"}[c.limitSource],
+		[]string{"hangs", "refuses", "resets", "rejects all", "fails", "no fault"}[c.fault], c.limitRPS, c.ruleIndex,
+		c.unevenLoad, c.restarts, c.seed)
 }
 
-// fleetRules are figures of the rules in deployments unlike each other.
+// fleetRules are settings of the overload rule for deployments that differ.
 var fleetRules = []struct {
-	multiple, from float64
-	window, warm   Micros
+	fallMultiple, coldFrom float64
+	fallWindow, warmAfter  Micros
 }{
 	{2, 0.2, 2 * Second, 14 * Second},
 	{1.5, 0.3, Second, 8 * Second},
@@ -66,19 +67,19 @@
 	seq                int
 	senders            []*fleetSender
 	downAt, upAt       Micros
-	acceptedAt         []Micros       // calls that the destination took
-	recoveryCalls      []recoveryCall // calls that reached it since its return
+	acceptedAt         []Micros       // when the destination accepted a call
+	recoveryCalls      []recoveryCall // calls that reached it since the outage ended
 	deliveredAt        []Micros
 	arrivals           int
-	deliveredWithinAim int // served within the aim
+	deliveredWithinAim int // messages delivered within the aim
 	calls              int
 }
 
-// recoveryCall is a call that reached the cold destination.
+// recoveryCall is a call that reached the recovering destination.
 type recoveryCall struct {
 	at         Micros
-	senderKnew bool   // its sender had been told of the outage
-	allowedBy  string // what let it through
+	senderKnew bool   // its sender had seen a failure of the outage
+	allowedBy  string // which rule let the sender make it
 }
 
 type fleetSender struct {
@@ -98,7 +99,7 @@
 	tries             int
 	mayHaveRun        bool
 	firstMayHaveRunAt Micros
-	clientRetries     int // times that its client came again
+	clientRetries     int // times that its client handed it in again
 	attempt           *fleetAttempt
 }
 
@@ -125,111 +126,115 @@
 	return x
 }
 
-func (f *fleet) schedule(t Micros, do func()) {
+func (f *fleet) schedule(t Micros, run func()) {
 	f.seq++
-	heap.Push(&f.queue, fleetEvent{max(t, f.now), f.seq, do})
+	heap.Push(&f.queue, fleetEvent{max(t, f.now), f.seq, run})
 }
 
-// randomSpan is a random span.
-func (f *fleet) randomSpan(least, most Micros) Micros {
-	return least + Micros(f.rnd.Int64N(int64(most-least+1)))
+// randomSpan returns a random time from minimum to maximum.
+func (f *fleet) randomSpan(minimum, maximum Micros) Micros {
+	return minimum + Micros(f.rnd.Int64N(int64(maximum-minimum+1)))
 }
 
-func newFleet(t *testing.T, c fleetCase) *fleet {
+func newFleet(t *testing.T, deployment fleetCase) *fleet {
 	t.Helper()
-	r := fleetRules[c.ruleIndex]
-	set := Settings{Senders: c.senders, Zones: 1, Slots: 16, MaxOpen: 200, MaxTries: 6, Tick: 5000, MayCancel: true, AdviseRetry: true,
-		WorthHalves: true, MaxRetryAfter: 2 * Second, DrainGrace: Second, ConnIdle: 5 * Second, ConnCalls: 4,
+	rule := fleetRules[deployment.ruleIndex]
+	settings := Settings{Senders: deployment.senders, Zones: 1, Slots: 16, MaxOpen: 200, MaxTries: 6, Tick: 5000,
+		MayCancel: true, AdviseRetry: true, WorthHalves: true, MaxRetryAfter: 2 * Second, DrainGrace: Second,
+		ConnIdle: 5 * Second, ConnCalls: 4,
 		Classes: []Class{
 			{Name: "a", Aim: 2 * Second, Deadline: 25 * Second, Worth: 1, LateWorth: 0.3},
 			{Name: "b", Aim: 3 * Second, Deadline: 18 * Second, Worth: 1, LateWorth: 0.4, Effect: Unsafe},
 			{Name: "c", Aim: Second, Deadline: 9 * Second, Worth: 1, LateWorth: 0.4, Effect: Keyed, Window: 6 * Second}},
-		Kinds: []Kind{{Name: "k", Batch: 1}}, FallMultiple: r.multiple, FallWindow: r.window, ColdFrom: r.from,
-		WarmAfter: r.warm, LimitLeftIndex: -1, LimitIndex: -1}
-	if c.limitSource > 0 {
-		set.Weights = WeightsNominal
+		Kinds: []Kind{{Name: "k", Batch: 1}}, FallMultiple: rule.fallMultiple, FallWindow: rule.fallWindow,
+		ColdFrom: rule.coldFrom, WarmAfter: rule.warmAfter, LimitLeftIndex: -1, LimitIndex: -1}
+	if deployment.limitSource > 0 {
+		settings.Weights = WeightsNominal
 	}
-	if c.limitSource > 1 {
-		set.LimitLeftIndex, set.LimitIndex = 0, 1
+	if deployment.limitSource > 1 {
+		settings.LimitLeftIndex, settings.LimitIndex = 0, 1
 	}
-	f := &fleet{deployment: c, settings: set, rnd: rand.New(rand.NewPCG(c.seed, uint64(c.senders)))}
+	f := &fleet{deployment: deployment, settings: settings,
+		rnd: rand.New(rand.NewPCG(deployment.seed, uint64(deployment.senders)))}
 	f.downAt = 10*Second + f.randomSpan(0, 2*Second)
 	f.upAt = f.downAt + f.randomSpan(7*Second/2, 15*Second)
-	for i := range c.senders {
-		n := &fleetSender{index: i, weight: 1}
-		if c.unevenLoad && f.rnd.IntN(6) == 0 {
-			n.weight = 3 + 3*f.rnd.Float64()
+	for i := range deployment.senders {
+		sender := &fleetSender{index: i, weight: 1}
+		if deployment.unevenLoad && f.rnd.IntN(6) == 0 {
+			sender.weight = 3 + 3*f.rnd.Float64()
 		}
-		f.senders = append(f.senders, n)
-		f.start(t, n)
+		f.senders = append(f.senders, sender)
+		f.start(t, sender)
 	}
 	return f
 }
 
-// start begins a life of a sender.
-func (f *fleet) start(t *testing.T, n *fleetSender) {
+// start starts a sender, or restarts it with the messages that its journal kept.
+func (f *fleet) start(t *testing.T, fs *fleetSender) {
 	s, err := New(f.settings, f.rnd.Uint64())
 	if err != nil {
 		t.Fatal(err)
 	}
-	old := n.messages
-	n.sender, n.stopped, n.knowsOutage, n.messages = s, false, false, map[string]*fleetMessage{}
-	n.generation++
-	ev := ListUpdate{Form: ListFull}
+	recovered := fs.messages
+	fs.sender, fs.stopped, fs.knowsOutage, fs.messages = s, false, false, map[string]*fleetMessage{}
+	fs.generation++
+	list := ListUpdate{Form: ListFull}
 	for i := range f.deployment.endpoints {
-		row := Entry{Endpoint: EndpointID(i + 1), Destination: 9}
+		entry := Entry{Endpoint: EndpointID(i + 1), Destination: 9}
 		if f.deployment.limitSource > 0 {
-			row.Nominal = f.deployment.limitRPS
+			entry.Nominal = f.deployment.limitRPS
 		}
-		ev.Entries = append(ev.Entries, row)
+		list.Entries = append(list.Entries, entry)
 	}
-	evs := []Event{ev}
+	evs := []Event{list}
 	var ids []string
-	for id := range old {
+	for id := range recovered {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
-	for _, id := range ids { // what the journal kept
-		m := old[id]
+	for _, id := range ids { // messages that the journal kept
+		m := recovered[id]
 		if m.attempt != nil {
 			m.mayHaveRun = true
 		}
 		if m.attempt = nil; m.deadline <= f.now {
 			continue
 		}
-		n.messages[id] = m
+		fs.messages[id] = m
 		evs = append(evs, NewMessage{ID: id, TimeLeft: m.deadline - f.now, Destination: 9, Tenant: -1, Class: m.class,
-			Prior: PriorAttempts{Recovered: true, Tries: m.tries, MayHaveRun: m.mayHaveRun, SinceFirstSend: f.now - m.firstMayHaveRunAt}})
+			Prior: PriorAttempts{Recovered: true, Tries: m.tries, MayHaveRun: m.mayHaveRun,
+				SinceFirstSend: f.now - m.firstMayHaveRunAt}})
 	}
-	f.step(n, evs...)
+	f.step(fs, evs...)
 }
 
-// crash ends a life; the next begins after a while with what was kept.
-func (f *fleet) crash(t *testing.T, n *fleetSender) {
-	n.stopped = true
-	n.generation++
-	f.schedule(f.now+f.randomSpan(Second/2, 2*Second), func() { f.start(t, n) })
+// crash stops a sender at once. It starts again 0.5 to 2 s later with the messages that its journal kept.
+func (f *fleet) crash(t *testing.T, fs *fleetSender) {
+	fs.stopped = true
+	fs.generation++
+	f.schedule(f.now+f.randomSpan(Second/2, 2*Second), func() { f.start(t, fs) })
 }
 
-// arrive lets the next message come, and so on until the end.
+// arrive schedules messages at the given mean rate until the end.
 func (f *fleet) arrive(rate float64, end Micros) {
 	total := 0.0
-	for _, n := range f.senders {
-		total += n.weight
+	for _, fs := range f.senders {
+		total += fs.weight
 	}
 	var next func()
 	next = func() {
-		x := f.rnd.Float64() * total
-		pick := f.senders[len(f.senders)-1]
-		for _, n := range f.senders {
-			if x -= n.weight; x < 0 {
-				pick = n
+		remaining := f.rnd.Float64() * total
+		chosen := f.senders[len(f.senders)-1]
+		for _, fs := range f.senders {
+			if remaining -= fs.weight; remaining < 0 {
+				chosen = fs
 				break
 			}
 		}
 		f.arrivals++
-		ci := [...]int{0, 0, 0, 0, 0, 0, 1, 1, 1, 2}[f.rnd.IntN(10)]
-		f.handIn(pick, &fleetMessage{id: fmt.Sprint("m", f.arrivals), class: ci, deadline: f.now + f.settings.Classes[ci].Deadline})
+		classIndex := [...]int{0, 0, 0, 0, 0, 0, 1, 1, 1, 2}[f.rnd.IntN(10)]
+		f.handIn(chosen, &fleetMessage{id: fmt.Sprint("m", f.arrivals), class: classIndex,
+			deadline: f.now + f.settings.Classes[classIndex].Deadline})
 		if t := f.now + 1 + Micros(f.rnd.ExpFloat64()/rate*float64(Second)); t < end {
 			f.schedule(t, next)
 		}
@@ -237,192 +242,199 @@
 	f.schedule(0, next)
 }
 
-// handIn gives a message to a sender, or to another one while that is down.
-func (f *fleet) handIn(n *fleetSender, m *fleetMessage) {
-	for n.stopped {
-		n = f.senders[f.rnd.IntN(len(f.senders))]
+// handIn hands a message to a sender, or to a random one that runs while it is stopped.
+func (f *fleet) handIn(fs *fleetSender, m *fleetMessage) {
+	for fs.stopped {
+		fs = f.senders[f.rnd.IntN(len(f.senders))]
 	}
-	n.messages[m.id] = m
-	f.step(n, NewMessage{ID: m.id, TimeLeft: m.deadline - f.now, Destination: 9, Tenant: -1, Class: m.class})
+	fs.messages[m.id] = m
+	f.step(fs, NewMessage{ID: m.id, TimeLeft: m.deadline - f.now, Destination: 9, Tenant: -1, Class: m.class})
 }
 
-func (f *fleet) step(n *fleetSender, evs ...Event) {
-	life := n.generation
-	for _, a := range n.sender.Step(f.now, evs) {
+func (f *fleet) step(fs *fleetSender, evs ...Event) {
+	generation := fs.generation
+	for _, a := range fs.sender.Step(f.now, evs) {
 		switch a := a.(type) {
 		case CallOut:
-			f.startAttempt(n, a)
+			f.startAttempt(fs, a)
 		case Cancel:
-			if m := n.messages[a.ID]; m != nil && m.attempt != nil {
-				try, n0 := m.attempt, m.tries-1
-				f.schedule(f.now+5000, func() { f.finishAttempt(n, life, m, try, AttemptResult{Attempt: n0, Outcome: Cancelled}) })
+			if m := fs.messages[a.ID]; m != nil && m.attempt != nil {
+				attempt, attemptNumber := m.attempt, m.tries-1
+				f.schedule(f.now+5000, func() {
+					f.finishAttempt(fs, generation, m, attempt, AttemptResult{Attempt: attemptNumber, Outcome: Cancelled})
+				})
 			}
 		case SetTimer:
 			f.schedule(f.now+a.Wait, func() {
-				if n.generation == life {
-					f.step(n, TimerExpired{a.Token})
+				if fs.generation == generation {
+					f.step(fs, TimerExpired{a.Token})
 				}
 			})
 		case Refuse:
-			m := n.messages[a.ID]
-			delete(n.messages, a.ID)
-			back := f.now + a.RetryIn + f.randomSpan(0, Second)
-			if m.clientRetries++; m.clientRetries > 2 || back+Second > m.deadline || f.rnd.IntN(3) == 0 {
+			m := fs.messages[a.ID]
+			delete(fs.messages, a.ID)
+			retryAt := f.now + a.RetryIn + f.randomSpan(0, Second)
+			if m.clientRetries++; m.clientRetries > 2 || retryAt+Second > m.deadline || f.rnd.IntN(3) == 0 {
 				continue
 			}
-			again := &fleetMessage{id: fmt.Sprint(m.id, "x"), class: m.class, deadline: m.deadline, clientRetries: m.clientRetries}
-			f.schedule(back, func() { f.handIn(f.senders[f.rnd.IntN(len(f.senders))], again) })
+			repeat := &fleetMessage{id: fmt.Sprint(m.id, "x"), class: m.class, deadline: m.deadline,
+				clientRetries: m.clientRetries}
+			f.schedule(retryAt, func() { f.handIn(f.senders[f.rnd.IntN(len(f.senders))], repeat) })
 		case Fail:
-			if m := n.messages[a.ID]; m != nil && m.attempt == nil {
-				delete(n.messages, a.ID)
+			if m := fs.messages[a.ID]; m != nil && m.attempt == nil {
+				delete(fs.messages, a.ID)
 			}
 		}
 	}
 }
 
 // startAttempt sends one attempt to the destination.
-func (f *fleet) startAttempt(n *fleetSender, a CallOut) {
-	m, life, at := n.messages[a.ID], n.generation, f.now
+func (f *fleet) startAttempt(fs *fleetSender, a CallOut) {
+	m, generation, sentAt := fs.messages[a.ID], fs.generation, f.now
 	f.calls++
-	try := &fleetAttempt{}
-	no := m.tries
+	attempt := &fleetAttempt{}
+	attemptNumber := m.tries
 	m.tries++
-	m.attempt = try
+	m.attempt = attempt
 	if !m.mayHaveRun {
 		m.firstMayHaveRunAt = f.now
 	}
-	e := n.sender.endpoints[a.Endpoint]
-	p := recoveryCall{senderKnew: n.knowsOutage, allowedBy: "free"}
+	target := fs.sender.endpoints[a.Endpoint]
+	recovery := recoveryCall{senderKnew: fs.knowsOutage, allowedBy: "unrestricted"}
 	switch {
-	case e.ejected:
-		p.allowedBy = "trial"
-	case slices.ContainsFunc(e.destination.endpoints, func(x *endpoint) bool { return x.recovering }):
-		p.allowedBy = "budget"
-	}
-	if n.sender.messages[a.ID].untried {
-		p.allowedBy += ", kept"
-	}
-	land := func(after Micros, o Outcome, wait Micros, load []float64) {
-		f.schedule(f.now+after, func() {
-			f.finishAttempt(n, life, m, try, AttemptResult{Attempt: no, Endpoint: a.Endpoint, Outcome: o, Duration: f.now - at, RetryAfter: wait, Load: load})
+	case target.ejected:
+		recovery.allowedBy = "trial"
+	case slices.ContainsFunc(target.destination.endpoints, func(sibling *endpoint) bool { return sibling.recovering }):
+		recovery.allowedBy = "budget"
+	}
+	if fs.sender.messages[a.ID].untried {
+		recovery.allowedBy += ", untried"
+	}
+	finishAfter := func(delay Micros, outcome Outcome, retryAfter Micros, load []float64) {
+		f.schedule(f.now+delay, func() {
+			f.finishAttempt(fs, generation, m, attempt, AttemptResult{Attempt: attemptNumber, Endpoint: a.Endpoint,
+				Outcome: outcome, Duration: f.now - sentAt, RetryAfter: retryAfter, Load: load})
 		})
 	}
-	f.schedule(at+a.GiveUp, func() {
-		f.finishAttempt(n, life, m, try, AttemptResult{Attempt: no, Endpoint: a.Endpoint, Outcome: TimedOut, Duration: a.GiveUp})
+	f.schedule(sentAt+a.GiveUp, func() {
+		f.finishAttempt(fs, generation, m, attempt, AttemptResult{Attempt: attemptNumber, Endpoint: a.Endpoint,
+			Outcome: TimedOut, Duration: a.GiveUp})
 	})
-	f.schedule(at+f.randomSpan(5000, 15_000), func() {
+	f.schedule(sentAt+f.randomSpan(5000, 15_000), func() {
 		if f.rnd.Float64() < f.deployment.chanceFailureRate {
-			land(f.randomSpan(5000, 60_000), ConnBroken, 0, nil)
+			finishAfter(f.randomSpan(5000, 60_000), ConnBroken, 0, nil)
 			return
 		}
-		if f.now >= f.downAt && f.now < f.upAt && f.deployment.fault != faultNone && (a.Endpoint == 1 || !f.deployment.firstEndpointOnly) {
+		if f.now >= f.downAt && f.now < f.upAt && f.deployment.fault != faultNone &&
+			(a.Endpoint == 1 || !f.deployment.firstEndpointOnly) {
 			switch f.deployment.fault {
 			case faultRefuse:
-				land(f.randomSpan(5000, 15_000), ConnRefused, 0, nil)
+				finishAfter(f.randomSpan(5000, 15_000), ConnRefused, 0, nil)
 			case faultReset:
-				land(f.randomSpan(5000, 60_000), ConnBroken, 0, nil)
+				finishAfter(f.randomSpan(5000, 60_000), ConnBroken, 0, nil)
 			case faultReject:
-				land(f.randomSpan(5000, 15_000), Rejected, 0, nil)
+				finishAfter(f.randomSpan(5000, 15_000), Rejected, 0, nil)
 			case faultError:
-				o := Errored
+				outcome := Errored
 				if f.rnd.IntN(5) == 0 {
-					o = Completed
+					outcome = Completed
 				}
-				land(f.randomSpan(5000, 60_000), o, 0, nil)
+				finishAfter(f.randomSpan(5000, 60_000), outcome, 0, nil)
 			}
 			return
 		}
 		if f.now >= f.upAt {
-			p.at = f.now
-			f.recoveryCalls = append(f.recoveryCalls, p)
+			recovery.at = f.now
+			f.recoveryCalls = append(f.recoveryCalls, recovery)
 		}
-		// What it has room for within a second is taken, the rest turned away unseen.
-		room := f.capacity(f.now)
-		used := float64(countAfter(f.acceptedAt, f.now-Second))
+		// Accepts what its capacity allows within a second, and rejects the rest unexamined.
+		capacity := f.capacity(f.now)
+		accepted := float64(countAfter(f.acceptedAt, f.now-Second))
 		var load []float64
 		if f.deployment.limitSource > 1 {
-			load = []float64{max(0, 1-(used+1)/room), f.deployment.limitRPS}
+			load = []float64{max(0, 1-(accepted+1)/capacity), f.deployment.limitRPS}
 		}
-		if used+1 > max(room, 1) {
-			wait := Micros(0)
+		if accepted+1 > max(capacity, 1) {
+			retryAfter := Micros(0)
 			if f.rnd.IntN(2) == 0 {
-				wait = f.randomSpan(100_000, 900_000)
+				retryAfter = f.randomSpan(100_000, 900_000)
 			}
-			land(f.randomSpan(5000, 15_000), Rejected, wait, load)
+			finishAfter(f.randomSpan(5000, 15_000), Rejected, retryAfter, load)
 			return
 		}
 		f.acceptedAt = append(f.acceptedAt, f.now)
-		land(f.randomSpan(30_000, 300_000), Completed, 0, load)
+		finishAfter(f.randomSpan(30_000, 300_000), Completed, 0, load)
 	})
 }
 
-// capacity is what the destination takes now, in calls a second.
+// capacity returns what the destination accepts at t, in calls a second.
 func (f *fleet) capacity(t Micros) float64 {
 	if t < f.upAt || f.deployment.fault == faultNone || f.deployment.firstEndpointOnly {
 		return f.deployment.limitRPS
 	}
-	part := f.settings.ColdFrom + (1-f.settings.ColdFrom)*min(1, seconds(t-f.upAt)/seconds(f.settings.WarmAfter))
-	return f.deployment.limitRPS * part
+	share := f.settings.ColdFrom + (1-f.settings.ColdFrom)*min(1, seconds(t-f.upAt)/seconds(f.settings.WarmAfter))
+	return f.deployment.limitRPS * share
 }
 
-// finishAttempt brings the outcome of an attempt, once, unless its sender has died.
-func (f *fleet) finishAttempt(n *fleetSender, life int, m *fleetMessage, try *fleetAttempt, r AttemptResult) {
-	if try.ended || n.generation != life {
+// finishAttempt hands the outcome of an attempt to its sender, once, unless the sender has crashed since.
+func (f *fleet) finishAttempt(fs *fleetSender, generation int, m *fleetMessage, attempt *fleetAttempt,
+	result AttemptResult) {
+	if attempt.ended || fs.generation != generation {
 		return
 	}
-	try.ended, m.attempt = true, nil
-	r.ID = m.id
-	if r.Outcome == Completed {
-		r.MessageEnded = true
-		delete(n.messages, m.id)
+	attempt.ended, m.attempt = true, nil
+	result.ID = m.id
+	if result.Outcome == Completed {
+		result.MessageEnded = true
+		delete(fs.messages, m.id)
 		f.deliveredAt = append(f.deliveredAt, f.now)
 		if f.now <= m.deadline-f.settings.Classes[m.class].Deadline+f.settings.Classes[m.class].Aim {
 			f.deliveredWithinAim++
 		}
 	}
-	if r.Outcome != ConnRefused && r.Outcome != Rejected {
+	if result.Outcome != ConnRefused && result.Outcome != Rejected {
 		m.mayHaveRun = true
 	}
-	e := n.sender.messages[m.id]
-	if e == nil || e.ended {
-		r.MessageEnded = true
-		delete(n.messages, m.id)
+	state := fs.sender.messages[m.id]
+	if state == nil || state.ended {
+		result.MessageEnded = true
+		delete(fs.messages, m.id)
 	}
-	if r.Endpoint == 0 && e != nil && e.attempt != nil {
-		r.Endpoint = e.attempt.endpoint.id
+	if result.Endpoint == 0 && state != nil && state.attempt != nil {
+		result.Endpoint = state.attempt.endpoint.id
 	}
-	f.step(n, r)
-	if r.Outcome != Completed && f.now >= f.downAt && f.now-r.Duration < f.upAt {
-		n.knowsOutage = true
+	f.step(fs, result)
+	if result.Outcome != Completed && f.now >= f.downAt && f.now-result.Duration < f.upAt {
+		fs.knowsOutage = true
 	}
 }
 
-// fleetResult is what a day showed.
+// fleetResult holds what one run measured.
 type fleetResult struct {
-	worstLoad      float64 // the worst window: calls over N + 2 root of N + 2
-	worstKnownLoad float64 // the same among windows of which over two thirds came from senders that had been told
-	calls          int     // of that window ...
-	bound          float64 // ... and what it bears
-	windowEnd      Micros  // its end, since the return
+	worstLoad      float64 // largest calls/bound of all windows
+	worstKnownLoad float64 // the same for windows with over two thirds of the calls from senders that knew of the outage
+	calls          int     // calls in that window
+	bound          float64 // calls allowed in it: n + 2*sqrt(n) + 2, with n = FallMultiple * capacity * FallWindow
+	windowEnd      Micros  // end of that window, since the end of the outage
 	callsByPath    map[string]int
-	recoveredAfter Micros  // until four fifths of what was served before are served again, since the return; -1 if never
-	deliveredShare float64 // of messages served
-	capacityUsed   float64 // what the destination had room for since its return, over what it took
+	recoveredAfter Micros  // from the end of the outage until four fifths of the earlier rate are delivered; -1 if never
+	deliveredShare float64 // share of the messages that were delivered
+	capacityUsed   float64 // deliveries since the end of the outage, over what the capacity allowed
 }
 
-// play runs the day.
+// play runs the deployment through its outage and recovery.
 func (f *fleet) play(t *testing.T) (r fleetResult) {
 	t.Helper()
 	if f.deployment.restarts {
-		for _, n := range f.senders { // seven in ten at once, others later
+		for _, fs := range f.senders { // seven in ten together, two at a time of their own, one not at all
 			at := f.downAt + (f.upAt-f.downAt)/2
-			switch x := f.rnd.IntN(10); {
-			case x >= 9:
+			switch n := f.rnd.IntN(10); {
+			case n >= 9:
 				continue
-			case x >= 7:
+			case n >= 7:
 				at = f.downAt + f.randomSpan(0, f.upAt-f.downAt)
 			}
-			f.schedule(at, func() { f.crash(t, n) })
+			f.schedule(at, func() { f.crash(t, fs) })
 		}
 	}
 	end := f.upAt + f.settings.WarmAfter + 6*Second
@@ -432,118 +444,124 @@
 	}
 	f.arrive(f.deployment.limitRPS*load, end)
 	for f.queue.Len() > 0 {
-		x := heap.Pop(&f.queue).(fleetEvent)
-		if f.now = x.at; f.now > end {
+		next := heap.Pop(&f.queue).(fleetEvent)
+		if f.now = next.at; f.now > end {
 			break
 		}
-		x.run()
+		next.run()
 	}
 	return f.evaluate(end)
 }
 
-// evaluate holds the pushes against the rule, in the window that ends with each.
-func (f *fleet) evaluate(end Micros) (r fleetResult) {
-	from, told := 0, 0
-	for i, p := range f.recoveryCalls {
-		if p.at > f.upAt+f.settings.WarmAfter {
-			break // as warm as ever
+// evaluate checks the overload rule in the window that ends with each call since the end of the outage.
+func (f *fleet) evaluate(end Micros) (result fleetResult) {
+	first, known := 0, 0
+	for i, call := range f.recoveryCalls {
+		if call.at > f.upAt+f.settings.WarmAfter {
+			break // full capacity again
 		}
-		if p.senderKnew {
-			told++
+		if call.senderKnew {
+			known++
 		}
-		for f.recoveryCalls[from].at <= p.at-f.settings.FallWindow {
-			if f.recoveryCalls[from].senderKnew {
-				told--
+		for f.recoveryCalls[first].at <= call.at-f.settings.FallWindow {
+			if f.recoveryCalls[first].senderKnew {
+				known--
 			}
-			from++
+			first++
 		}
-		n := i - from + 1
-		most := f.settings.FallMultiple * f.capacity(p.at) * seconds(f.settings.FallWindow)
-		most += 2*math.Sqrt(most) + 2
-		x := float64(n) / most
-		r.worstLoad = max(r.worstLoad, x)
-		if 3*told > 2*n && x > r.worstKnownLoad {
-			r.worstKnownLoad, r.calls, r.bound, r.windowEnd, r.callsByPath = x, n, most, p.at-f.upAt, map[string]int{}
-			for _, q := range f.recoveryCalls[from : i+1] {
-				if !q.senderKnew {
-					q.allowedBy += " of the untold"
+		calls := i - first + 1
+		bound := f.settings.FallMultiple * f.capacity(call.at) * seconds(f.settings.FallWindow)
+		bound += 2*math.Sqrt(bound) + 2
+		ratio := float64(calls) / bound
+		result.worstLoad = max(result.worstLoad, ratio)
+		if 3*known > 2*calls && ratio > result.worstKnownLoad {
+			result.worstKnownLoad, result.calls, result.bound, result.windowEnd, result.callsByPath =
+				ratio, calls, bound, call.at-f.upAt, map[string]int{}
+			for _, other := range f.recoveryCalls[first : i+1] {
+				if !other.senderKnew {
+					other.allowedBy += " of senders without a sign of the outage"
 				}
-				r.callsByPath[q.allowedBy]++
+				result.callsByPath[other.allowedBy]++
 			}
 		}
 	}
-	before := float64(countAfter(f.deliveredAt, f.downAt-8*Second)-countAfter(f.deliveredAt, f.downAt)) / 8
-	r.recoveredAfter = -1
+	deliveryRateBefore := float64(countAfter(f.deliveredAt, f.downAt-8*Second)-countAfter(f.deliveredAt, f.downAt)) / 8
+	result.recoveredAfter = -1
 	for i, t := range f.deliveredAt {
-		if j := i - int(0.8*before*3); t > f.upAt && before > 0 && j >= 0 && f.deliveredAt[j] > max(f.upAt, t-3*Second) {
-			r.recoveredAfter = t - f.upAt
+		if j := i - int(0.8*deliveryRateBefore*3); t > f.upAt && deliveryRateBefore > 0 && j >= 0 &&
+			f.deliveredAt[j] > max(f.upAt, t-3*Second) {
+			result.recoveredAfter = t - f.upAt
 			break
 		}
 	}
-	r.deliveredShare = float64(len(f.deliveredAt)) / float64(f.arrivals)
-	room := 0.0
+	result.deliveredShare = float64(len(f.deliveredAt)) / float64(f.arrivals)
+	capacity := 0.0
 	for t := f.upAt; t < end; t += Second / 10 {
-		room += f.capacity(t) / 10
+		capacity += f.capacity(t) / 10
 	}
-	r.capacityUsed = float64(countAfter(f.deliveredAt, f.upAt)) / room
-	return r
+	result.capacityUsed = float64(countAfter(f.deliveredAt, f.upAt)) / capacity
+	return result
 }
 
-// fleetCases are days that differ in what the rule's text leaves open; the rest is drawn.
-func fleetCases(senders, seeds int, faults ...fault) (cs []fleetCase) {
-	n, rates := uint64(0), []float64{4, 11, 40, 120}
-	if senders < 100 { // what is held by each makes long steps
+// fleetCases returns deployments that differ in what the overload rule leaves open; the rest is drawn from the seed.
+func fleetCases(senders, seeds int, faults ...fault) (cases []fleetCase) {
+	number, rates := uint64(0), []float64{4, 11, 40, 120}
+	if senders < 100 { // each holds many messages, which makes its steps slow
 		rates = rates[:3]
 	}
 	for seed := range uint64(seeds) {
-		for told := range 3 {
-			for _, how := range faults {
+		for limitSource := range 3 {
+			for _, fault := range faults {
 				for endpoints := 1; endpoints <= 2; endpoints++ {
-					n++
-					rnd := rand.New(rand.NewPCG(seed*1000+n, 5))
-					cs = append(cs, fleetCase{senders: senders, endpoints: endpoints, limitSource: told, fault: how,
+					number++
+					rnd := rand.New(rand.NewPCG(seed*1000+number, 5))
+					cases = append(cases, fleetCase{senders: senders, endpoints: endpoints, limitSource: limitSource, fault: fault,
 						unevenLoad: rnd.IntN(3) > 0, restarts: rnd.IntN(3) == 0, ruleIndex: rnd.IntN(len(fleetRules)),
-						limitRPS: rates[rnd.IntN(len(rates))], seed: seed*1000 + n})
+						limitRPS: rates[rnd.IntN(len(rates))], seed: seed*1000 + number})
 				}
 			}
 		}
 	}
-	return cs
+	return cases
 }
 
-// A cold destination falls under the sum of what all send; the rule is broken if over two thirds of that came from
-// senders that knew. Each has only what it saw itself.
+// checkFleetKeepsUp fails if a fleet overloads a recovering destination. It counts the calls of all senders, in windows
+// where over two thirds of the calls came from senders that knew of the outage. Each sender knows only what it saw
+// itself.
 func checkFleetKeepsUp(t *testing.T, seeds int, faults ...fault) {
 	t.Helper()
 	for _, senders := range []int{20, 30, 300, 540} {
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
 			t.Parallel()
-			var worst fleetCase
-			var w fleetResult
-			var wholes []Micros
-			broken, served, use, days := 0, 0.0, 0.0, 0
-			for _, c := range fleetCases(senders, seeds, faults...) {
-				r := newFleet(t, c).play(t)
-				days++
-				served += r.deliveredShare
-				use += r.capacityUsed
-				if r.recoveredAfter < 0 {
-					r.recoveredAfter = never
+			var worstCase fleetCase
+			var worst fleetResult
+			var recoveryTimes []Micros
+			overloads, deliveredShare, capacityUsed, runs := 0, 0.0, 0.0, 0
+			for _, deployment := range fleetCases(senders, seeds, faults...) {
+				result := newFleet(t, deployment).play(t)
+				runs++
+				deliveredShare += result.deliveredShare
+				capacityUsed += result.capacityUsed
+				if result.recoveredAfter < 0 {
+					result.recoveredAfter = never
 				}
-				wholes = append(wholes, r.recoveredAfter)
-				if r.worstKnownLoad > w.worstKnownLoad {
-					worst, w = c, r
+				recoveryTimes = append(recoveryTimes, result.recoveredAfter)
+				if result.worstKnownLoad > worst.worstKnownLoad {
+					worstCase, worst = deployment, result
 				}
-				if r.worstKnownLoad > 1 {
-					broken++
-					t.Errorf("%v: %d calls in a window %.1f s after the return, %.1f would do; %v", c, r.calls, seconds(r.windowEnd), r.bound, r.callsByPath)
+				if result.worstKnownLoad > 1 {
+					overloads++
+					t.Errorf("%v: got %d calls in a window %.1f s after the outage, want at most %.1f; calls by rule: %v",
+						deployment, result.calls, seconds(result.windowEnd), result.bound, result.callsByPath)
 				}
 			}
-			slices.Sort(wholes)
-			t.Logf("%d senders, %d days, %d broken: worst margin %.2f, %d calls of %.1f, %.1f s after the return, %v\n  %v", senders,
-				days, broken, w.worstKnownLoad, w.calls, w.bound, seconds(w.windowEnd), w.callsByPath, worst)
-			t.Logf("%d senders: whole after a median of %.1f s, nine in ten after %.1f s; served %.2f, room used after the return %.2f",
-				senders, seconds(wholes[days/2]), seconds(wholes[days*9/10]), served/float64(days), use/float64(days))
+			slices.Sort(recoveryTimes)
+			t.Logf("%d senders, %d runs, %d overloads: worst window %.2f of the bound, %d calls of %.1f, %.1f s after, %v\n  %v",
+				senders, runs, overloads, worst.worstKnownLoad, worst.calls, worst.bound, seconds(worst.windowEnd),
+				worst.callsByPath, worstCase)
+			t.Logf("%d senders: recovered after %.1f s (median), %.1f s (nine in ten); delivered %.2f, capacity used %.2f",
+				senders, seconds(recoveryTimes[runs/2]), seconds(recoveryTimes[runs*9/10]), deliveredShare/float64(runs),
+				capacityUsed/float64(runs))
 		})
 	}
 }
@@ -552,66 +570,68 @@
 	checkFleetKeepsUp(t, *fleetSeeds, faultHang, faultRefuse, faultReset, faultError)
 }
 
-// The same for a destination that was shut: it turned all calls away unseen, with neither a wait nor a report.
+// The outage is that the destination rejects all calls unexamined, with neither a retry-after time nor a load report.
 func TestFleetDoesNotOverloadADestinationThatRejectedAll(t *testing.T) {
 	checkFleetKeepsUp(t, 4**fleetSeeds, faultReject)
 }
 
-// Where nothing is out, calls that break by chance must not make a fleet slow: what each sender doubts for a while has
-// its price.
+// Guards against a fleet that is slow without an outage: after calls that fail by chance each sender holds messages
+// back for a while.
 func TestFleetDeliversDespiteChanceFailures(t *testing.T) {
-	for _, x := range []struct {
-		senders             int
-		rate, load          float64
-		told                int
-		stray, served, soon float64 // least shares of the messages
+	for _, tc := range []struct {
+		senders                                       int
+		limitRPS, loadShare                           float64
+		limitSource                                   int
+		chanceFailureRate, minDelivered, minWithinAim float64 // the last two are shares of the messages
 	}{
 		{300, 11, 0.7, 2, 0.02, 0.86, 0.78},
 		{300, 120, 0.7, 0, 0.02, 0.96, 0.95},
 		{300, 40, 0.8, 1, 0.005, 0.94, 0.90},
 		{300, 40, 1.1, 0, 0.005, 0.82, 0.70},
 	} {
-		soon, served, calls := 0.0, 0.0, 0.0
+		withinAim, delivered, calls := 0.0, 0.0, 0.0
 		for seed := range uint64(4) {
-			f := newFleet(t, fleetCase{senders: x.senders, endpoints: 1 + int(seed)%2, limitSource: x.told, fault: faultNone, unevenLoad: true,
-				limitRPS: x.rate, loadShare: x.load, chanceFailureRate: x.stray, seed: seed})
+			f := newFleet(t, fleetCase{senders: tc.senders, endpoints: 1 + int(seed)%2, limitSource: tc.limitSource,
+				fault: faultNone, unevenLoad: true, limitRPS: tc.limitRPS, loadShare: tc.loadShare,
+				chanceFailureRate: tc.chanceFailureRate, seed: seed})
 			f.play(t)
-			soon += float64(f.deliveredWithinAim) / float64(f.arrivals) / 4
-			served += float64(len(f.deliveredAt)) / float64(f.arrivals) / 4
+			withinAim += float64(f.deliveredWithinAim) / float64(f.arrivals) / 4
+			delivered += float64(len(f.deliveredAt)) / float64(f.arrivals) / 4
 			calls += float64(f.calls) / float64(f.arrivals) / 4
 		}
-		t.Logf("%+v: served %.3f, within the aim %.3f, calls %.2f", x, served, soon, calls)
-		if served < x.served || soon < x.soon {
-			t.Errorf("%+v: served %.3f, within the aim %.3f", x, served, soon)
+		t.Logf("%+v: delivered %.3f, within the aim %.3f, calls per message %.2f", tc, delivered, withinAim, calls)
+		if delivered < tc.minDelivered || withinAim < tc.minWithinAim {
+			t.Errorf("%+v: delivered %.3f, within the aim %.3f", tc, delivered, withinAim)
 		}
 	}
 }
 
-// Where one of two endpoints is down and the other takes all, a fleet must not hold back for long.
+// Guards against a fleet that holds messages back for long where one of two endpoints has an outage and the other
+// accepts all calls.
 func TestFleetDeliversWithOneEndpointDown(t *testing.T) {
-	for _, x := range []struct {
-		senders      int
-		rate         float64
-		told         int
-		how          fault
-		served, soon float64 // least shares of the messages
+	for _, tc := range []struct {
+		senders                    int
+		limitRPS                   float64
+		limitSource                int
+		fault                      fault
+		minDelivered, minWithinAim float64 // shares of the messages
 	}{
 		{20, 11, 0, faultRefuse, 0.84, 0.58},
 		{300, 120, 1, faultHang, 0.92, 0.74},
 		{300, 40, 1, faultRefuse, 0.84, 0.67},
 		{300, 40, 0, faultReset, 0.88, 0.82},
 	} {
-		soon, served := 0.0, 0.0
+		withinAim, delivered := 0.0, 0.0
 		for seed := range uint64(6) {
-			f := newFleet(t, fleetCase{senders: x.senders, endpoints: 2, limitSource: x.told, fault: x.how, unevenLoad: true,
-				limitRPS: x.rate, loadShare: 0.6, firstEndpointOnly: true, seed: seed})
+			f := newFleet(t, fleetCase{senders: tc.senders, endpoints: 2, limitSource: tc.limitSource, fault: tc.fault,
+				unevenLoad: true, limitRPS: tc.limitRPS, loadShare: 0.6, firstEndpointOnly: true, seed: seed})
 			f.play(t)
-			soon += float64(f.deliveredWithinAim) / float64(f.arrivals) / 6
-			served += float64(len(f.deliveredAt)) / float64(f.arrivals) / 6
+			withinAim += float64(f.deliveredWithinAim) / float64(f.arrivals) / 6
+			delivered += float64(len(f.deliveredAt)) / float64(f.arrivals) / 6
 		}
-		t.Logf("%+v: served %.3f, within the aim %.3f", x, served, soon)
-		if served < x.served || soon < x.soon {
-			t.Errorf("%+v: served %.3f, within the aim %.3f", x, served, soon)
+		t.Logf("%+v: delivered %.3f, within the aim %.3f", tc, delivered, withinAim)
+		if delivered < tc.minDelivered || withinAim < tc.minWithinAim {
+			t.Errorf("%+v: delivered %.3f, within the aim %.3f", tc, delivered, withinAim)
 		}
 	}
 }
--- a/logic/golden_test.go
+++ b/logic/golden_test.go
@@ -13,12 +13,13 @@
 	"testing"
 )
 
-var recordGolden = flag.Bool("record", false, "write the hashes of the actions anew; only where decisions are meant to change")
+var recordGolden = flag.Bool("record", false,
+	"record the hashes of the actions again; only where a change of decisions is intended")
 
 const goldenFile = "testdata/actions.json"
 
-// goldenStream is a seeded stream of events over many destinations with long silences, and the hash of what a Sender does
-// with it.
+// goldenStream is a seeded stream of events for many destinations, with long times without events, and the hash of the
+// actions that a Sender takes on it.
 type goldenStream struct {
 	t            *testing.T
 	settings     Settings
@@ -26,10 +27,10 @@
 	sender       *Sender
 	now          Micros
 	entries      []Entry
-	pending      []goldenEvent // by time
+	pending      []goldenEvent // in order of time
 	openMessages map[string]*goldenMessage
 	messageCount int
-	downUntil    map[int64]Micros // until when a destination is down
+	downUntil    map[int64]Micros // by destination, the end of its outage
 	downOutcome  map[int64]Outcome
 	actionsHash  hash.Hash
 	actions      int
@@ -43,13 +44,14 @@
 
 type goldenMessage struct{ tries int }
 
-func newGoldenStream(t *testing.T, set Settings, seed uint64) *goldenStream {
-	s, err := New(set, seed)
+func newGoldenStream(t *testing.T, settings Settings, seed uint64) *goldenStream {
+	s, err := New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &goldenStream{t: t, settings: set, rnd: rand.New(rand.NewPCG(seed, 2)), sender: s, openMessages: map[string]*goldenMessage{},
-		downUntil: map[int64]Micros{}, downOutcome: map[int64]Outcome{}, actionsHash: sha256.New()}
+	return &goldenStream{t: t, settings: settings, rnd: rand.New(rand.NewPCG(seed, 2)), sender: s,
+		openMessages: map[string]*goldenMessage{}, downUntil: map[int64]Micros{}, downOutcome: map[int64]Outcome{},
+		actionsHash: sha256.New()}
 }
 
 func (g *goldenStream) step(evs ...Event) {
@@ -87,95 +89,98 @@
 }
 
 func (g *goldenStream) startAttempt(a CallOut) {
-	m := g.openMessages[a.ID]
-	r := AttemptResult{ID: a.ID, Endpoint: a.Endpoint, Attempt: m.tries, Outcome: Completed, MessageEnded: true}
-	m.tries++
-	var dest int64
-	for _, row := range g.entries {
-		if row.Endpoint == a.Endpoint {
-			dest = row.Destination
+	message := g.openMessages[a.ID]
+	result := AttemptResult{ID: a.ID, Endpoint: a.Endpoint, Attempt: message.tries, Outcome: Completed, MessageEnded: true}
+	message.tries++
+	var destination int64
+	for _, entry := range g.entries {
+		if entry.Endpoint == a.Endpoint {
+			destination = entry.Destination
 		}
 	}
-	took := Micros(20_000+10_000*(dest%7)) + Micros(g.rnd.ExpFloat64()*30_000)
+	duration := Micros(20_000+10_000*(destination%7)) + Micros(g.rnd.ExpFloat64()*30_000)
 	if g.rnd.IntN(30) == 0 {
-		took *= 40
+		duration *= 40
 	}
 	switch x := g.rnd.IntN(200); {
-	case g.now < g.downUntil[dest]:
-		r.Outcome, r.MessageEnded = g.downOutcome[dest], false
+	case g.now < g.downUntil[destination]:
+		result.Outcome, result.MessageEnded = g.downOutcome[destination], false
 	case x < 3:
-		r.Outcome, r.MessageEnded = Errored, false
+		result.Outcome, result.MessageEnded = Errored, false
 	case x < 5:
-		r.Outcome, r.MessageEnded = ConnBroken, false
+		result.Outcome, result.MessageEnded = ConnBroken, false
 	case x < 12:
-		r.Outcome, r.MessageEnded = Rejected, false
+		result.Outcome, result.MessageEnded = Rejected, false
 	}
-	if r.Outcome == Rejected && g.rnd.IntN(2) == 0 {
-		r.RetryAfter = Micros(g.rnd.IntN(4_000_000))
+	if result.Outcome == Rejected && g.rnd.IntN(2) == 0 {
+		result.RetryAfter = Micros(g.rnd.IntN(4_000_000))
 	}
-	if r.Outcome == TimedOut || took >= a.GiveUp {
-		r.Outcome, r.MessageEnded, took = TimedOut, false, a.GiveUp
+	if result.Outcome == TimedOut || duration >= a.GiveUp {
+		result.Outcome, result.MessageEnded, duration = TimedOut, false, a.GiveUp
 	}
-	r.Duration = took
-	if g.settings.LimitIndex >= 0 && r.Outcome != TimedOut {
-		r.Load = []float64{g.rnd.Float64(), 20 + 20*g.rnd.Float64()}
+	result.Duration = duration
+	if g.settings.LimitIndex >= 0 && result.Outcome != TimedOut {
+		result.Load = []float64{g.rnd.Float64(), 20 + 20*g.rnd.Float64()}
 	}
-	g.schedule(g.now+took, r)
+	g.schedule(g.now+duration, result)
 }
 
-func (g *goldenStream) newMessage(dest int64) Event {
+func (g *goldenStream) newMessage(destination int64) Event {
 	g.messageCount++
-	c := g.rnd.IntN(len(g.settings.Classes))
-	ev := NewMessage{ID: fmt.Sprint("g", g.messageCount), TimeLeft: g.settings.Classes[c].Deadline, Destination: dest, Tenant: -1, Class: c}
+	classIndex := g.rnd.IntN(len(g.settings.Classes))
+	message := NewMessage{ID: fmt.Sprint("g", g.messageCount), TimeLeft: g.settings.Classes[classIndex].Deadline,
+		Destination: destination, Tenant: -1, Class: classIndex}
 	if g.rnd.IntN(50) == 0 {
-		ev.Prior = PriorAttempts{Recovered: true, Tries: g.rnd.IntN(2)}
+		message.Prior = PriorAttempts{Recovered: true, Tries: g.rnd.IntN(2)}
 	}
-	g.openMessages[ev.ID] = &goldenMessage{tries: ev.Prior.Tries}
-	return ev
+	g.openMessages[message.ID] = &goldenMessage{tries: message.Prior.Tries}
+	return message
 }
 
-// listChange is news of the list.
+// listChange returns a random update of the list.
 func (g *goldenStream) listChange() Event {
 	i := g.rnd.IntN(len(g.entries))
-	row := &g.entries[i]
+	entry := &g.entries[i]
 	switch g.rnd.IntN(8) {
 	case 0:
-		row.State = Draining
+		entry.State = Draining
 	case 1:
-		row.State = Removed
-	case 2: // a whole list without some
-		ev := ListUpdate{Form: ListFull}
-		for j, row := range g.entries {
-			if row.State != Removed && j%17 != i%17 {
-				ev.Entries = append(ev.Entries, row)
+		entry.State = Removed
+	case 2: // a full list without some of the endpoints
+		update := ListUpdate{Form: ListFull}
+		for j, entry := range g.entries {
+			if entry.State != Removed && j%17 != i%17 {
+				update.Entries = append(update.Entries, entry)
 			}
 		}
-		return ev
+		return update
 	case 3:
-		ev := ListUpdate{Form: ListFull}
+		update := ListUpdate{Form: ListFull}
 		for j := range g.entries {
 			g.entries[j].State = Ready
-			ev.Entries = append(ev.Entries, g.entries[j])
+			update.Entries = append(update.Entries, g.entries[j])
 		}
-		return ev
-	case 4: // moves to another destination
-		row.Destination, row.State = g.entries[g.rnd.IntN(len(g.entries))].Destination, Ready
-	case 5: // a new one
-		g.entries = append(g.entries, Entry{Endpoint: EndpointID(1000 + len(g.entries)), Destination: row.Destination, Kind: row.Kind, Zone: row.Zone,
-			Nominal: row.Nominal})
-		row = &g.entries[len(g.entries)-1]
+		return update
+	case 4: // the endpoint moves to another destination
+		entry.Destination, entry.State = g.entries[g.rnd.IntN(len(g.entries))].Destination, Ready
+	case 5: // a new endpoint
+		g.entries = append(g.entries, Entry{Endpoint: EndpointID(1000 + len(g.entries)), Destination: entry.Destination,
+			Kind: entry.Kind, Zone: entry.Zone, Nominal: entry.Nominal})
+		entry = &g.entries[len(g.entries)-1]
 	default:
-		row.State = Ready
+		entry.State = Ready
 	}
-	return ListUpdate{Form: ListDelta, Entries: []Entry{*row, {Endpoint: 77_777, State: Removed}}}
+	return ListUpdate{Form: ListDelta, Entries: []Entry{*entry, {Endpoint: 77_777, State: Removed}}}
 }
 
-// play runs some minutes, with a sender that goes on for the one before now and then.
-func (g *goldenStream) play(dests int, swap bool) string {
-	for d := range dests {
-		for e := range 1 + d%3 {
-			g.entries = append(g.entries, Entry{Endpoint: EndpointID(10*d + e + 1), Destination: int64(d), Kind: d % len(g.settings.Kinds),
-				Zone: e % max(g.settings.Zones, 1), Nominal: float64(5 + d%40)})
+// play runs some minutes of events and returns the hash of the actions; with handOver, another Sender takes over the
+// state from time to time.
+func (g *goldenStream) play(destinations int, handOver bool) string {
+	for destination := range destinations {
+		for endpoint := range 1 + destination%3 {
+			g.entries = append(g.entries, Entry{Endpoint: EndpointID(10*destination + endpoint + 1),
+				Destination: int64(destination), Kind: destination % len(g.settings.Kinds),
+				Zone: endpoint % max(g.settings.Zones, 1), Nominal: float64(5 + destination%40)})
 		}
 	}
 	g.step(ListUpdate{Form: ListCached, Entries: slices.Clone(g.entries), Stale: g.rnd.IntN(2) == 0})
@@ -190,9 +195,9 @@
 		case x < 27:
 			evs = append(evs, ListUpdate{Form: ListRequestFailed})
 		case x < 34:
-			d := int64(g.rnd.IntN(dests / 2))
-			g.downUntil[d] = g.now + Micros(g.rnd.IntN(20))*Second
-			g.downOutcome[d] = []Outcome{ConnRefused, Errored, TimedOut, Rejected}[g.rnd.IntN(4)]
+			destination := int64(g.rnd.IntN(destinations / 2))
+			g.downUntil[destination] = g.now + Micros(g.rnd.IntN(20))*Second
+			g.downOutcome[destination] = []Outcome{ConnRefused, Errored, TimedOut, Rejected}[g.rnd.IntN(4)]
 		case x < 36:
 			evs = append(evs, Ban{g.entries[g.rnd.IntN(len(g.entries))].Endpoint})
 		case x < 40:
@@ -201,14 +206,14 @@
 			evs = append(evs, DiscoveryMoved{})
 		case x < 44 && g.messageCount > 0:
 			evs = append(evs, ClientGone{fmt.Sprint("g", 1+g.rnd.IntN(g.messageCount))})
-		case x < 60: // a clump
+		case x < 60: // a burst
 			for range 10 {
-				evs = append(evs, g.newMessage(int64(g.rnd.IntN(1+dests/8))))
+				evs = append(evs, g.newMessage(int64(g.rnd.IntN(1+destinations/8))))
 			}
 		case x < 900:
-			evs = append(evs, g.newMessage(int64(float64(dests)*g.rnd.Float64()*g.rnd.Float64())))
+			evs = append(evs, g.newMessage(int64(float64(destinations)*g.rnd.Float64()*g.rnd.Float64())))
 		}
-		if i%600 == 500 { // a silence in which what was learned ages
+		if i%600 == 500 { // a long time without events, in which learned state expires
 			for len(g.pending) > 0 && g.pending[0].at < g.now+20*Second {
 				g.stepDue(g.pending[0].at)
 			}
@@ -220,19 +225,19 @@
 		if len(evs) > 0 {
 			g.step(evs...)
 		}
-		if swap && i%397 == 0 {
+		if handOver && i%397 == 0 {
 			g.handOver()
 		}
 	}
 	g.step(Stopping{TimeLeft: 2 * Second}, g.newMessage(1), g.newMessage(2))
 	fmt.Fprintf(g.actionsHash, "%d messages, %d actions\n", g.messageCount, g.actions)
 	if g.actions < 1000 {
-		g.t.Errorf("only %d actions", g.actions)
+		g.t.Errorf("got %d actions, want at least 1000", g.actions)
 	}
 	return fmt.Sprintf("%x", g.actionsHash.Sum(nil)[:12])
 }
 
-// stepDue takes what is due at a time in one step.
+// stepDue hands all events that are due at a time to the Sender in one step.
 func (g *goldenStream) stepDue(at Micros) {
 	g.now = max(g.now, at)
 	var evs []Event
@@ -248,15 +253,15 @@
 
 func (g *goldenStream) handOver() {
 	g.handovers++
-	next := transferSender(g.t, g.settings, g.sender, g.handovers%2 == 0)
-	next.rng, next.step, next.timerAt = g.sender.rng, g.sender.step, g.sender.timerAt
-	g.sender = next
+	resumed := transferSender(g.t, g.settings, g.sender, g.handovers%2 == 0)
+	resumed.rng, resumed.step, resumed.timerAt = g.sender.rng, g.sender.step, g.sender.timerAt
+	g.sender = resumed
 }
 
-// goldenVariants are those of the rules, and fleets.
+// goldenVariants returns settingsVariants and variants with many senders.
 func goldenVariants() map[string]Settings {
-	all := settingsVariants()
-	for name, f := range map[string]func(*Settings){
+	variants := settingsVariants()
+	for name, change := range map[string]func(*Settings){
 		"fleet":         func(s *Settings) { s.ConnIdle = 10 * Second },
 		"fleet reports": func(s *Settings) { s.LimitLeftIndex, s.LimitIndex, s.Weights = 0, 1, WeightsNominal },
 		"fleet apart": func(s *Settings) {
@@ -264,32 +269,33 @@
 		},
 		"fleet aged": func(s *Settings) { s.MaxListAge, s.ListOnRequest = 6*Second, true },
 	} {
-		set := baseSettings()
-		set.Senders, set.Slots, set.MaxOpen, set.ConnCalls = 60, 40, 300, 1
-		f(&set)
-		all[name] = set
+		settings := baseSettings()
+		settings.Senders, settings.Slots, settings.MaxOpen, settings.ConnCalls = 60, 40, 300, 1
+		change(&settings)
+		variants[name] = settings
 	}
-	return all
+	return variants
 }
 
-// TestActionsMatchTheRecord holds every decision on seeded streams against those on record: what only changes how the
-// state is kept must change none. A change of decisions records them anew, with -record, and says so.
+// TestActionsMatchTheRecord compares every decision on seeded streams with the recorded ones, so that a change of how
+// the state is stored changes no decision. A commit that changes decisions records them again with -record and says so.
 func TestActionsMatchTheRecord(t *testing.T) {
 	got := map[string]string{}
-	for name, set := range goldenVariants() {
-		for _, swap := range []bool{false, true} {
-			got[fmt.Sprintf("%s, many destinations, replaced %v", name, swap)] = newGoldenStream(t, set, 11).play(100, swap)
-			if _, rules := settingsVariants()[name]; rules {
-				w := newRuleChecker(t, set, 6)
-				if swap {
-					w.handoverInterval = Second
+	for name, settings := range goldenVariants() {
+		for _, handOver := range []bool{false, true} {
+			got[fmt.Sprintf("%s, many destinations, replaced %v", name, handOver)] =
+				newGoldenStream(t, settings, 11).play(100, handOver)
+			if _, isRuleVariant := settingsVariants()[name]; isRuleVariant {
+				rc := newRuleChecker(t, settings, 6)
+				if handOver {
+					rc.handoverInterval = Second
 				}
-				w.play()
+				rc.play()
 				sum := sha256.New()
-				for _, line := range w.trace {
+				for _, line := range rc.trace {
 					fmt.Fprintln(sum, line)
 				}
-				got[fmt.Sprintf("%s, rules, replaced %v", name, swap)] = fmt.Sprintf("%x", sum.Sum(nil)[:12])
+				got[fmt.Sprintf("%s, rules, replaced %v", name, handOver)] = fmt.Sprintf("%x", sum.Sum(nil)[:12])
 			}
 		}
 	}
@@ -312,10 +318,10 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(want)) {
 		if got[name] != want[name] {
-			t.Errorf("%s: actions %s, on record %s", name, got[name], want[name])
+			t.Errorf("%s: got actions with hash %s, want %s", name, got[name], want[name])
 		}
 	}
 	if len(got) != len(want) {
-		t.Errorf("%d streams, %d on record", len(got), len(want))
+		t.Errorf("got %d streams, want %d as recorded", len(got), len(want))
 	}
 }
--- a/logic/handover_test.go
+++ b/logic/handover_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// transferSender is a sender that goes on with what another one knows, by way of bytes as between two processes: a text, or
-// a text and rows.
-func transferSender(t *testing.T, set Settings, s *Sender, inRows bool) *Sender {
+// transferSender returns a sender that takes over the state of another one as bytes, as between two processes: as JSON,
+// or as JSON and rows.
+func transferSender(t *testing.T, settings Settings, s *Sender, inRows bool) *Sender {
 	saved := s.Save()
 	if inRows {
 		saved = s.SaveWithoutTables()
@@ -24,19 +24,19 @@
 	if err := json.Unmarshal(text, &saved); err != nil {
 		t.Fatal(err)
 	}
-	var next *Sender
+	var resumed *Sender
 	if inRows {
-		next, err = ResumeFromRows(set, 1, saved, copyRows(s.TableRows()))
+		resumed, err = ResumeFromRows(settings, 1, saved, copyRows(s.TableRows()))
 	} else {
-		next, err = Resume(set, 1, saved)
+		resumed, err = Resume(settings, 1, saved)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return next
+	return resumed
 }
 
-// copyRows are rows as another process gets them: each is its reader's until the next, and then gone.
+// copyRows returns rows as another process gets them: each is valid until the next is read, and overwritten then.
 func copyRows(rows iter.Seq[[]byte]) iter.Seq2[[]byte, error] {
 	return func(yield func([]byte, error) bool) {
 		for row := range rows {
@@ -51,129 +51,133 @@
 	}
 }
 
-// handOver lets another sender go on with what this one knows. Only chance, the number of the step and the timer that is
-// out stay as they were: they differ between senders.
-func (w *ruleChecker) handOver() {
-	w.handovers++
-	next := transferSender(w.t, w.settings, w.sender, w.handovers%2 == 0)
-	next.rng, next.step, next.timerAt = w.sender.rng, w.sender.step, w.sender.timerAt
-	w.sender = next
+// handOver replaces the sender by another one with its state. The random source, the step count and the pending timer,
+// which a transfer does not carry, are copied.
+func (rc *ruleChecker) handOver() {
+	rc.handovers++
+	resumed := transferSender(rc.t, rc.settings, rc.sender, rc.handovers%2 == 0)
+	resumed.rng, resumed.step, resumed.timerAt = rc.sender.rng, rc.sender.step, rc.sender.timerAt
+	rc.sender = resumed
 }
 
-// A sender that goes on for another keeps the rules and does what that one would have done.
+// Guards against decisions that a handover changes: the sender that takes over must keep the rules and take the actions
+// that the other one would have taken.
 func TestResumedSenderContinuesAlike(t *testing.T) {
-	for name, set := range settingsVariants() {
+	for name, settings := range settingsVariants() {
 		t.Run(name, func(t *testing.T) {
-			one, many := newRuleChecker(t, set, 4), newRuleChecker(t, set, 4)
-			many.handoverInterval = Second / 2
-			one.play()
-			many.play()
-			i := 0
-			for i < len(one.trace) && i < len(many.trace) && one.trace[i] == many.trace[i] {
-				i++
+			single, resumed := newRuleChecker(t, settings, 4), newRuleChecker(t, settings, 4)
+			resumed.handoverInterval = Second / 2
+			single.play()
+			resumed.play()
+			common := 0
+			for common < len(single.trace) && common < len(resumed.trace) && single.trace[common] == resumed.trace[common] {
+				common++
 			}
-			if !slices.Equal(one.trace, many.trace) {
-				t.Errorf("from action %d of %d on others", i, len(one.trace))
+			if !slices.Equal(single.trace, resumed.trace) {
+				t.Errorf("actions differ from number %d of %d on", common, len(single.trace))
 			}
-			if len(one.trace) < 100 {
-				t.Errorf("only %d actions", len(one.trace))
+			if len(single.trace) < 100 {
+				t.Errorf("got %d actions, want at least 100", len(single.trace))
 			}
 		})
 	}
 }
 
-// Settle takes outcomes in and sends nothing, whatever could go.
+// ApplyWithoutSending takes outcomes in and sends nothing, even if a message could be sent.
 func TestApplyWithoutSendingSendsNothing(t *testing.T) {
-	r := newHarness(t, baseSettings())
-	c := r.newMessage(0)
-	out := actionsOf[CallOut](r.step(1, fullList(1), c))
-	if len(out) != 1 {
-		t.Fatalf("%d sends", len(out))
+	h := newHarness(t, baseSettings())
+	m := h.newMessage(0)
+	sends := actionsOf[CallOut](h.step(1, fullList(1), m))
+	if len(sends) != 1 {
+		t.Fatalf("got %d sends, want 1", len(sends))
 	}
-	acts := r.sender.ApplyWithoutSending(fromSeconds(1.1), []Event{resultOf(c.ID, 1, 0, Rejected), r.newMessage(0)})
+	acts := h.sender.ApplyWithoutSending(fromSeconds(1.1), []Event{resultOf(m.ID, 1, 0, Rejected), h.newMessage(0)})
 	if n := len(actionsOf[CallOut](acts)); n != 0 {
-		t.Errorf("%d sends", n)
+		t.Errorf("got %d sends from ApplyWithoutSending, want none", n)
 	}
-	if n := len(r.sender.attempts); n != 0 {
-		t.Errorf("%d calls out after the outcome", n)
+	if n := len(h.sender.attempts); n != 0 {
+		t.Errorf("got %d attempts in flight after the outcome, want none", n)
 	}
-	if n := len(actionsOf[CallOut](r.step(3))); n == 0 {
-		t.Error("nothing sent afterwards")
+	if n := len(actionsOf[CallOut](h.step(3))); n == 0 {
+		t.Error("nothing sent in the next step")
 	}
 }
 
-// A handover soon after a start takes along that the list is still the saved one, and what the start found untried.
+// Guards against a handover soon after a start that loses two facts: that the list is still the saved one, and which
+// recovered messages are untried.
 func TestResumeKeepsSavedListAndRecoveredMessages(t *testing.T) {
-	set, eps := lowLimitDeployment(200)
-	r := newHarness(t, set)
-	short, long := r.recoveredMessage(0, 0.4), r.recoveredMessage(0, 9)
-	if n := len(actionsOf[CallOut](r.step(100, eps, short, long))); n != 0 {
-		t.Fatalf("%d sends on a saved list", n)
+	settings, list := lowLimitDeployment(200)
+	h := newHarness(t, settings)
+	short, long := h.recoveredMessage(0, 0.4), h.recoveredMessage(0, 9)
+	if n := len(actionsOf[CallOut](h.step(100, list, short, long))); n != 0 {
+		t.Fatalf("got %d sends on a saved list, want none", n)
 	}
-	next, err := Resume(set, 1, r.sender.Save())
+	resumed, err := Resume(settings, 1, h.sender.Save())
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.sender = next
-	if n := len(actionsOf[CallOut](r.step(100.1, r.newMessage(0)))); n != 0 {
-		t.Errorf("%d sends on a saved list after the handover", n)
+	h.sender = resumed
+	if n := len(actionsOf[CallOut](h.step(100.1, h.newMessage(0)))); n != 0 {
+		t.Errorf("got %d sends on a saved list after the handover, want none", n)
 	}
-	if out := actionsOf[CallOut](r.step(100.21, TimerExpired{})); len(out) != 1 || out[0].ID != short.ID {
-		t.Errorf("sent %v, want what has half of its time left", out)
+	if sends := actionsOf[CallOut](h.step(100.21, TimerExpired{})); len(sends) != 1 || sends[0].ID != short.ID {
+		t.Errorf("got sends %v, want the message with half of its time left", sends)
 	}
-	if m := r.sender.messages[long.ID]; !m.untried || m.lastChanceAt <= fromSeconds(100) {
-		t.Errorf("found by the start: %+v", m)
+	if m := h.sender.messages[long.ID]; !m.untried || m.lastChanceAt <= fromSeconds(100) {
+		t.Errorf("recovered message after the handover: got %+v, want it untried with its last chance ahead", m)
 	}
 }
 
-// Both forms of the state carry all of it: what comes out of a transfer is what went in, bit by bit.
+// Guards against state that a transfer loses or changes: in both forms, the state after it must equal the state before
+// bit by bit.
 func TestTransferKeepsAllState(t *testing.T) {
-	for name, set := range goldenVariants() {
-		g := newGoldenStream(t, set, 5)
+	for name, settings := range goldenVariants() {
+		g := newGoldenStream(t, settings, 5)
 		g.play(60, false)
 		for _, inRows := range []bool{false, true} {
-			next := transferSender(t, set, g.sender, inRows)
-			if !reflect.DeepEqual(slices.Sorted(maps.Keys(next.endpoints)), slices.Sorted(maps.Keys(g.sender.endpoints))) {
-				t.Errorf("%s, in rows %v: other endpoints after the transfer", name, inRows)
+			resumed := transferSender(t, settings, g.sender, inRows)
+			if !reflect.DeepEqual(slices.Sorted(maps.Keys(resumed.endpoints)), slices.Sorted(maps.Keys(g.sender.endpoints))) {
+				t.Errorf("%s, in rows %v: endpoints differ after the transfer", name, inRows)
 			}
-			a, err := json.Marshal(g.sender.Save())
+			before, err := json.Marshal(g.sender.Save())
 			if err != nil {
 				t.Fatal(err)
 			}
-			b, err := json.Marshal(next.Save())
+			after, err := json.Marshal(resumed.Save())
 			if err != nil {
 				t.Fatal(err)
 			}
-			if string(a) != string(b) {
+			if string(before) != string(after) {
 				t.Errorf("%s, in rows %v: the state differs after the transfer", name, inRows)
 			}
-			for id, d := range next.destinations {
-				if old := g.sender.destinations[id]; old != nil && (old.messageCount != d.messageCount || old.histogram.tau != d.histogram.tau) {
-					t.Errorf("%s, in rows %v: destination %d: %+v, before %+v", name, inRows, id, d, old)
+			for id, d := range resumed.destinations {
+				if old := g.sender.destinations[id]; old != nil &&
+					(old.messageCount != d.messageCount || old.histogram.tau != d.histogram.tau) {
+					t.Errorf("%s, in rows %v: destination %d: got %+v, want %+v as before", name, inRows, id, d, old)
 				}
 			}
 		}
 	}
 }
 
-// Rows that make no sense are refused, whatever they hold; none crashes the reader.
+// Guards against a crash on corrupted rows: they must be rejected with an error, or give a sender that works.
 func TestTransferRejectsInvalidRows(t *testing.T) {
-	set := baseSettings()
-	set.Senders = 60
-	g := newGoldenStream(t, set, 5)
+	settings := baseSettings()
+	settings.Senders = 60
+	g := newGoldenStream(t, settings, 5)
 	g.play(20, false)
 	var rows [][]byte
 	for row := range g.sender.TableRows() {
 		rows = append(rows, slices.Clone(row))
 	}
-	rnd, refused := g.rnd, 0
+	rnd, rejected := g.rnd, 0
 	for range 3000 {
-		bad := make([][]byte, len(rows))
+		corrupted := make([][]byte, len(rows))
 		for i, row := range rows {
-			bad[i] = slices.Clone(row)
+			corrupted[i] = slices.Clone(row)
 		}
 		for range 1 + rnd.IntN(3) {
-			row := &bad[rnd.IntN(len(bad))]
+			row := &corrupted[rnd.IntN(len(corrupted))]
 			switch rnd.IntN(3) {
 			case 0:
 				(*row)[rnd.IntN(len(*row))] ^= byte(1 + rnd.IntN(255))
@@ -186,20 +190,21 @@
 				*row = append(*row, byte(rnd.IntN(256)), 0xff)
 			}
 		}
-		s, err := ResumeFromRows(set, 1, g.sender.SaveWithoutTables(), func(yield func([]byte, error) bool) {
-			for _, row := range bad {
+		s, err := ResumeFromRows(settings, 1, g.sender.SaveWithoutTables(), func(yield func([]byte, error) bool) {
+			for _, row := range corrupted {
 				if !yield(row, nil) {
 					return
 				}
 			}
 		})
 		if err != nil {
-			refused++
+			rejected++
 			continue
 		}
-		s.Step(g.now+Second, []Event{NewMessage{ID: "after", TimeLeft: 10 * Second, Destination: int64(rnd.IntN(20)), Tenant: -1}})
+		s.Step(g.now+Second, []Event{NewMessage{ID: "after", TimeLeft: 10 * Second, Destination: int64(rnd.IntN(20)),
+			Tenant: -1}})
 	}
-	if refused == 0 {
-		t.Error("nothing was refused")
+	if rejected == 0 {
+		t.Error("no corrupted row was rejected")
 	}
 }
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -7,9 +7,11 @@
 	"testing"
 )
 
-// baseSettings is a plain deployment: two senders, one safe, one keyed and one unsafe class, one kind of destination.
+// baseSettings returns a small deployment: two senders, one kind of destination, and a safe, a keyed and an unsafe
+// class.
 func baseSettings() Settings {
-	return Settings{Senders: 2, Zones: 1, Slots: 8, MaxOpen: 60, MaxTries: 6, Tick: 5000, MayCancel: true, AdviseRetry: true,
+	return Settings{Senders: 2, Zones: 1, Slots: 8, MaxOpen: 60, MaxTries: 6, Tick: 5000,
+		MayCancel: true, AdviseRetry: true,
 		Classes: []Class{
 			{Name: "a", Aim: Second, Deadline: 10 * Second, Worth: 1, LateWorth: 0.5},
 			{Name: "b", Aim: 2 * Second, Deadline: 12 * Second, Worth: 2, LateWorth: 0.4, Effect: Keyed, Window: 8 * Second},
@@ -18,16 +20,16 @@
 		FallWindow: 2 * Second, ColdFrom: 0.2, WarmAfter: 14 * Second, LimitLeftIndex: -1, LimitIndex: -1}
 }
 
-// harness drives one Sender by hand.
+// harness drives one Sender with events that a test chooses.
 type harness struct {
 	t            *testing.T
 	sender       *Sender
 	messageCount int
 }
 
-func newHarness(t *testing.T, set Settings) *harness {
+func newHarness(t *testing.T, settings Settings) *harness {
 	t.Helper()
-	s, err := New(set, 7)
+	s, err := New(settings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,12 +38,12 @@
 
 func fromSeconds(x float64) Micros { return Micros(x * float64(Second)) }
 
-func (r *harness) step(at float64, evs ...Event) []Action {
-	r.t.Helper()
-	return r.sender.Step(fromSeconds(at), evs)
+func (h *harness) step(at float64, evs ...Event) []Action {
+	h.t.Helper()
+	return h.sender.Step(fromSeconds(at), evs)
 }
 
-// fullList makes a whole list of n endpoints, from 1 on, of destination 9.
+// fullList returns a full list of n endpoints of destination 9, with IDs from 1.
 func fullList(n int) ListUpdate {
 	ev := ListUpdate{Form: ListFull}
 	for i := 1; i <= n; i++ {
@@ -50,25 +52,28 @@
 	return ev
 }
 
-func (r *harness) newMessage(class int) NewMessage {
-	r.messageCount++
-	return NewMessage{ID: fmt.Sprintf("m%d", r.messageCount), TimeLeft: r.sender.settings.Classes[class].Deadline, Destination: 9, Tenant: -1, Class: class}
+func (h *harness) newMessage(class int) NewMessage {
+	h.messageCount++
+	return NewMessage{ID: fmt.Sprintf("m%d", h.messageCount), TimeLeft: h.sender.settings.Classes[class].Deadline,
+		Destination: 9, Tenant: -1, Class: class}
 }
 
-func resultOf(id string, ep EndpointID, attempt int, o Outcome) AttemptResult {
-	return AttemptResult{ID: id, Endpoint: ep, Attempt: attempt, Outcome: o, Duration: fromSeconds(0.1), MessageEnded: o == Completed}
+func resultOf(messageID string, endpoint EndpointID, attempt int, outcome Outcome) AttemptResult {
+	return AttemptResult{ID: messageID, Endpoint: endpoint, Attempt: attempt, Outcome: outcome, Duration: fromSeconds(0.1),
+		MessageEnded: outcome == Completed}
 }
 
-func actionsOf[T Action](acts []Action) (out []T) {
-	for _, a := range acts {
+func actionsOf[T Action](actions []Action) (found []T) {
+	for _, a := range actions {
 		if x, ok := a.(T); ok {
-			out = append(out, x)
+			found = append(found, x)
 		}
 	}
-	return out
+	return found
 }
 
-// ruleChecker plays random legal outcomes against a Sender and asserts the six rules. It models no server.
+// ruleChecker feeds random but valid events and outcomes to a Sender and checks the six rules of the design. It does
+// not model a server.
 type ruleChecker struct {
 	t                   *testing.T
 	settings            Settings
@@ -87,13 +92,13 @@
 	quietUntil          map[string]Micros
 	quietOwner          map[string]*ruleMessage
 	slotsInUse          int
-	outage              [2]Micros // all of destination 1 refuses connections
+	outage              [2]Micros // start and end of the time in which destination 1 refuses all connections
 	outageSeen          bool
 	sentWhileRecovering []Micros
 	sentBeforeOutage    []Micros
 	peakRate            float64
 	trace               []string
-	handoverInterval    Micros // mean time between two senders that go on for each other; 0 for one sender all day
+	handoverInterval    Micros // time between two handovers to another Sender; 0 for none
 	handovers           int
 }
 
@@ -112,7 +117,7 @@
 
 type ruleEndpoint struct {
 	entry    Entry
-	closedAt Micros // when it was told to drain or go
+	closedAt Micros // since when the list has it draining or removed
 	closed   bool
 }
 
@@ -125,337 +130,345 @@
 
 type ruleCall struct{ pending int }
 
-func (w *ruleChecker) limiterKey(e *ruleEndpoint) string {
-	if w.settings.Kinds[e.entry.Kind].SeparateRoutes {
-		return fmt.Sprint("route", e.entry.Endpoint)
+func (rc *ruleChecker) limiterKey(endpoint *ruleEndpoint) string {
+	if rc.settings.Kinds[endpoint.entry.Kind].SeparateRoutes {
+		return fmt.Sprint("route", endpoint.entry.Endpoint)
 	}
-	return fmt.Sprint("dest", e.entry.Destination)
+	return fmt.Sprint("dest", endpoint.entry.Destination)
 }
 
-func (w *ruleChecker) fatalf(format string, args ...any) {
-	w.t.Helper()
-	w.t.Fatalf("at %d: "+format, append([]any{w.now}, args...)...)
+func (rc *ruleChecker) fatalf(format string, args ...any) {
+	rc.t.Helper()
+	rc.t.Fatalf("at %d: "+format, append([]any{rc.now}, args...)...)
 }
 
-func newRuleChecker(t *testing.T, set Settings, seed uint64) *ruleChecker {
-	s, err := New(set, seed)
+func newRuleChecker(t *testing.T, settings Settings, seed uint64) *ruleChecker {
+	s, err := New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &ruleChecker{t: t, settings: set, rnd: rand.New(rand.NewPCG(seed, 1)), sender: s, messages: map[string]*ruleMessage{},
-		endpoints: map[EndpointID]*ruleEndpoint{}, waitUntil: map[string]Micros{}, asked: map[EndpointID]int{},
+	return &ruleChecker{t: t, settings: settings, rnd: rand.New(rand.NewPCG(seed, 1)), sender: s,
+		messages: map[string]*ruleMessage{}, endpoints: map[EndpointID]*ruleEndpoint{},
+		waitUntil: map[string]Micros{}, asked: map[EndpointID]int{},
 		byOrderKey: map[string][]*ruleMessage{}, quietUntil: map[string]Micros{}, quietOwner: map[string]*ruleMessage{},
 		outage: [2]Micros{12 * Second, 20 * Second}}
 }
 
-// play runs 40 seconds of random traffic.
-func (w *ruleChecker) play() {
-	var first ListUpdate
-	first.Form = ListCached
+// play runs 40 seconds of random traffic, and 20 more in which its messages end.
+func (rc *ruleChecker) play() {
+	var list ListUpdate
+	list.Form = ListCached
 	for i := 0; i < 8; i++ {
-		row := Entry{Endpoint: EndpointID(100 + i), Destination: int64(1 + i/2), Kind: (i / 2) % len(w.settings.Kinds),
-			Zone: i % max(w.settings.Zones, 1), Nominal: 6}
-		w.endpoints[row.Endpoint] = &ruleEndpoint{entry: row}
-		w.endpointIDs = append(w.endpointIDs, row.Endpoint)
-		first.Entries = append(first.Entries, row)
-	}
-	w.step(first)
-	next := Micros(0)
-	for w.now < 60*Second {
-		w.now += w.settings.Tick
+		entry := Entry{Endpoint: EndpointID(100 + i), Destination: int64(1 + i/2), Kind: (i / 2) % len(rc.settings.Kinds),
+			Zone: i % max(rc.settings.Zones, 1), Nominal: 6}
+		rc.endpoints[entry.Endpoint] = &ruleEndpoint{entry: entry}
+		rc.endpointIDs = append(rc.endpointIDs, entry.Endpoint)
+		list.Entries = append(list.Entries, entry)
+	}
+	rc.step(list)
+	nextArrivalAt := Micros(0)
+	for rc.now < 60*Second {
+		rc.now += rc.settings.Tick
 		var evs []Event
-		evs = append(evs, w.takeDue()...)
-		if w.now < 40*Second && w.now >= next {
-			next = w.now + Micros(w.rnd.IntN(150_000))
-			evs = append(evs, w.arrival())
-			if w.rnd.IntN(40) == 0 { // a clump
+		evs = append(evs, rc.takeDue()...)
+		if rc.now < 40*Second && rc.now >= nextArrivalAt {
+			nextArrivalAt = rc.now + Micros(rc.rnd.IntN(150_000))
+			evs = append(evs, rc.arrival())
+			if rc.rnd.IntN(40) == 0 { // a burst
 				for range 15 {
-					evs = append(evs, w.arrival())
+					evs = append(evs, rc.arrival())
 				}
 			}
 		}
-		if w.rnd.IntN(1500) == 0 {
-			evs = append(evs, w.listChange())
+		if rc.rnd.IntN(1500) == 0 {
+			evs = append(evs, rc.listChange())
 		}
-		if w.rnd.IntN(900) == 0 && len(w.messageIDs) > 0 {
-			m := w.messages[w.messageIDs[w.rnd.IntN(len(w.messageIDs))]]
-			m.ended = true // withdrawn, or ended long ago
+		if rc.rnd.IntN(900) == 0 && len(rc.messageIDs) > 0 {
+			m := rc.messages[rc.messageIDs[rc.rnd.IntN(len(rc.messageIDs))]]
+			m.ended = true // its client is gone, or it ended earlier
 			evs = append(evs, ClientGone{m.id}, ClientGone{"nobody"}, TimerExpired{3})
 		}
 		if len(evs) > 0 {
-			w.step(evs...)
+			rc.step(evs...)
 		}
-		if w.handoverInterval > 0 && w.now%w.handoverInterval < w.settings.Tick {
-			w.handOver()
+		if rc.handoverInterval > 0 && rc.now%rc.handoverInterval < rc.settings.Tick {
+			rc.handOver()
 		}
-		w.openMessages = slices.DeleteFunc(w.openMessages, func(m *ruleMessage) bool { return m.ended })
-		for _, m := range w.openMessages {
-			if w.now > m.deadline {
-				w.fatalf("message %s of class %s has no answer at its deadline", m.id, m.class.Name)
+		rc.openMessages = slices.DeleteFunc(rc.openMessages, func(m *ruleMessage) bool { return m.ended })
+		for _, m := range rc.openMessages {
+			if rc.now > m.deadline {
+				rc.fatalf("message %s of class %s has not ended by its deadline", m.id, m.class.Name)
 			}
 		}
 	}
 }
 
-func (w *ruleChecker) arrival() Event {
-	ci := w.rnd.IntN(len(w.settings.Classes))
-	c := w.settings.Classes[ci]
-	m := &ruleMessage{id: fmt.Sprint("r", len(w.messageIDs)), class: c, destination: int64(1 + w.rnd.IntN(5))}
-	left := c.Deadline
-	if w.rnd.IntN(5) == 0 {
-		left = c.Deadline / 3
-	}
-	if c.KeepOrder {
-		m.key = fmt.Sprint("k", w.rnd.IntN(4))
-		w.byOrderKey[m.key] = append(w.byOrderKey[m.key], m)
-	}
-	m.deadline = w.now + left
-	w.messages[m.id] = m
-	w.messageIDs = append(w.messageIDs, m.id)
-	w.openMessages = append(w.openMessages, m)
+func (rc *ruleChecker) arrival() Event {
+	classIndex := rc.rnd.IntN(len(rc.settings.Classes))
+	class := rc.settings.Classes[classIndex]
+	m := &ruleMessage{id: fmt.Sprint("r", len(rc.messageIDs)), class: class, destination: int64(1 + rc.rnd.IntN(5))}
+	timeLeft := class.Deadline
+	if rc.rnd.IntN(5) == 0 {
+		timeLeft = class.Deadline / 3
+	}
+	if class.KeepOrder {
+		m.key = fmt.Sprint("k", rc.rnd.IntN(4))
+		rc.byOrderKey[m.key] = append(rc.byOrderKey[m.key], m)
+	}
+	m.deadline = rc.now + timeLeft
+	rc.messages[m.id] = m
+	rc.messageIDs = append(rc.messageIDs, m.id)
+	rc.openMessages = append(rc.openMessages, m)
 	tenant := -1
-	if n := len(w.settings.Tenants); n > 0 {
-		tenant = w.rnd.IntN(n)
+	if n := len(rc.settings.Tenants); n > 0 {
+		tenant = rc.rnd.IntN(n)
 	}
-	return NewMessage{ID: m.id, TimeLeft: left, Key: m.key, Destination: m.destination, Tenant: tenant, Class: ci}
+	return NewMessage{ID: m.id, TimeLeft: timeLeft, Key: m.key, Destination: m.destination, Tenant: tenant,
+		Class: classIndex}
 }
 
-// listChange drains, removes or adds an endpoint.
-func (w *ruleChecker) listChange() Event {
-	id := w.endpointIDs[w.rnd.IntN(len(w.endpointIDs))]
-	e := w.endpoints[id]
-	row := e.entry
-	switch w.rnd.IntN(3) {
+// listChange drains or removes an endpoint, or makes it ready again.
+func (rc *ruleChecker) listChange() Event {
+	id := rc.endpointIDs[rc.rnd.IntN(len(rc.endpointIDs))]
+	endpoint := rc.endpoints[id]
+	entry := endpoint.entry
+	switch rc.rnd.IntN(3) {
 	case 0:
-		row.State = Draining
+		entry.State = Draining
 	case 1:
-		row.State = Removed
+		entry.State = Removed
 	}
-	if row.State == Ready {
-		e.closed = false
-	} else if !e.closed {
-		e.closed, e.closedAt = true, w.now
+	if entry.State == Ready {
+		endpoint.closed = false
+	} else if !endpoint.closed {
+		endpoint.closed, endpoint.closedAt = true, rc.now
 	}
-	return ListUpdate{Form: ListDelta, Entries: []Entry{row}}
+	return ListUpdate{Form: ListDelta, Entries: []Entry{entry}}
 }
 
-func (w *ruleChecker) takeDue() (evs []Event) {
+func (rc *ruleChecker) takeDue() (evs []Event) {
 	var rest []ruleEvent
-	for _, q := range w.pending {
-		if q.at > w.now {
-			rest = append(rest, q)
+	for _, due := range rc.pending {
+		if due.at > rc.now {
+			rest = append(rest, due)
 			continue
 		}
-		if r, ok := q.event.(AttemptResult); ok {
-			q.event = w.finishAttempt(r, q.message, q.call)
+		if r, ok := due.event.(AttemptResult); ok {
+			due.event = rc.finishAttempt(r, due.message, due.call)
 		}
-		evs = append(evs, q.event)
+		evs = append(evs, due.event)
 	}
-	w.pending = rest
+	rc.pending = rest
 	return evs
 }
 
-// finishAttempt applies the outcome of an attempt to what the rules know.
-func (w *ruleChecker) finishAttempt(r AttemptResult, m *ruleMessage, c *ruleCall) AttemptResult {
-	if c.pending--; c.pending == 0 {
-		w.slotsInUse--
+// finishAttempt applies the outcome of an attempt to the checker's own state, and returns the result to hand in.
+func (rc *ruleChecker) finishAttempt(result AttemptResult, message *ruleMessage, call *ruleCall) AttemptResult {
+	if call.pending--; call.pending == 0 {
+		rc.slotsInUse--
 	}
-	m.inFlight = false
-	if r.Outcome != Rejected && r.Outcome != ConnRefused && r.Outcome != NotSent {
-		m.mayHaveRun = true
+	message.inFlight = false
+	if result.Outcome != Rejected && result.Outcome != ConnRefused && result.Outcome != NotSent {
+		message.mayHaveRun = true
 	}
-	if r.Outcome == Completed {
-		m.ended = true
+	if result.Outcome == Completed {
+		message.ended = true
 	}
-	r.MessageEnded = m.ended
-	if m.key != "" && (r.Outcome == TimedOut || r.Outcome == ConnBroken || r.Outcome == Cancelled) {
-		w.quietUntil[m.key], w.quietOwner[m.key] = w.now+w.settings.KeyQuiet, m
+	result.MessageEnded = message.ended
+	if message.key != "" && (result.Outcome == TimedOut || result.Outcome == ConnBroken || result.Outcome == Cancelled) {
+		rc.quietUntil[message.key], rc.quietOwner[message.key] = rc.now+rc.settings.KeyQuiet, message
 	}
-	e := w.endpoints[r.Endpoint]
-	if r.RetryAfter > 0 {
-		w.waitUntil[w.limiterKey(e)] = max(w.waitUntil[w.limiterKey(e)], w.now+r.RetryAfter)
+	endpoint := rc.endpoints[result.Endpoint]
+	if result.RetryAfter > 0 {
+		rc.waitUntil[rc.limiterKey(endpoint)] = max(rc.waitUntil[rc.limiterKey(endpoint)], rc.now+result.RetryAfter)
 	}
-	if e.entry.Destination == 1 && w.now > w.outage[0] && w.now < w.outage[1] && r.Outcome == ConnRefused {
-		w.outageSeen = true
+	if endpoint.entry.Destination == 1 && rc.now > rc.outage[0] && rc.now < rc.outage[1] && result.Outcome == ConnRefused {
+		rc.outageSeen = true
 	}
-	return r
+	return result
 }
 
-func (w *ruleChecker) outcome(e *ruleEndpoint) (Outcome, Micros, Micros) {
-	if e.entry.Destination == 1 && w.now > w.outage[0] && w.now < w.outage[1] {
+func (rc *ruleChecker) outcome(endpoint *ruleEndpoint) (Outcome, Micros, Micros) {
+	if endpoint.entry.Destination == 1 && rc.now > rc.outage[0] && rc.now < rc.outage[1] {
 		return ConnRefused, 20_000, 0
 	}
-	took := Micros(20_000 + w.rnd.IntN(300_000))
-	switch x := w.rnd.IntN(100); {
+	duration := Micros(20_000 + rc.rnd.IntN(300_000))
+	switch x := rc.rnd.IntN(100); {
 	case x < 70:
-		return Completed, took, 0
+		return Completed, duration, 0
 	case x < 76:
-		return Errored, took, 0
+		return Errored, duration, 0
 	case x < 80:
-		return ConnBroken, took, 0
+		return ConnBroken, duration, 0
 	case x < 84:
-		return ConnRefused, took, 0
+		return ConnRefused, duration, 0
 	case x < 94:
-		wait := Micros(0)
-		if w.rnd.IntN(2) == 0 {
-			wait = Micros(w.rnd.IntN(3_000_000))
+		retryAfter := Micros(0)
+		if rc.rnd.IntN(2) == 0 {
+			retryAfter = Micros(rc.rnd.IntN(3_000_000))
 		}
-		return Rejected, 20_000, wait
+		return Rejected, 20_000, retryAfter
 	}
-	return TimedOut, never, 0 // silent: ends when given up or called off
+	return TimedOut, never, 0 // no answer: ends at its time limit or when cancelled
 }
 
-// step makes one step and checks all its actions.
-func (w *ruleChecker) step(evs ...Event) {
+// step makes one step of the Sender and checks all its actions.
+func (rc *ruleChecker) step(evs ...Event) {
 	opened := map[EndpointID]*ruleCall{}
 	count := map[EndpointID]int{}
-	for _, a := range w.sender.Step(w.now, evs) {
-		w.trace = append(w.trace, fmt.Sprintf("%d %#v", w.now, a))
+	for _, a := range rc.sender.Step(rc.now, evs) {
+		rc.trace = append(rc.trace, fmt.Sprintf("%d %#v", rc.now, a))
 		switch a := a.(type) {
 		case CallOut:
-			m, e := w.messages[a.ID], w.endpoints[a.Endpoint]
-			w.checkSend(m, e)
-			c := opened[a.Endpoint]
-			if c == nil || count[a.Endpoint]%max(w.settings.Kinds[e.entry.Kind].Batch, 1) == 0 {
-				c = &ruleCall{}
-				opened[a.Endpoint] = c
-				if w.slotsInUse++; w.slotsInUse > w.settings.Slots {
-					w.fatalf("more calls out than slots")
+			message, endpoint := rc.messages[a.ID], rc.endpoints[a.Endpoint]
+			rc.checkSend(message, endpoint)
+			openedCall := opened[a.Endpoint]
+			if openedCall == nil || count[a.Endpoint]%max(rc.settings.Kinds[endpoint.entry.Kind].Batch, 1) == 0 {
+				openedCall = &ruleCall{}
+				opened[a.Endpoint] = openedCall
+				if rc.slotsInUse++; rc.slotsInUse > rc.settings.Slots {
+					rc.fatalf("more calls in flight than slots")
 				}
-				w.checkBudget(e)
+				rc.checkBudget(endpoint)
 			}
 			count[a.Endpoint]++
-			c.pending++
-			o, took, wait := w.outcome(e)
-			if took >= a.GiveUp {
-				o, took, wait = TimedOut, a.GiveUp, 0
+			openedCall.pending++
+			outcome, duration, retryAfter := rc.outcome(endpoint)
+			if duration >= a.GiveUp {
+				outcome, duration, retryAfter = TimedOut, a.GiveUp, 0
 			}
-			w.pending = append(w.pending, ruleEvent{w.now + took, AttemptResult{ID: a.ID, Endpoint: a.Endpoint, Attempt: m.tries,
-				Outcome: o, Duration: took, RetryAfter: wait, Load: w.loadReport()}, m, c})
-			m.tries++
+			rc.pending = append(rc.pending, ruleEvent{rc.now + duration, AttemptResult{ID: a.ID, Endpoint: a.Endpoint,
+				Attempt: message.tries, Outcome: outcome, Duration: duration, RetryAfter: retryAfter,
+				Load: rc.loadReport()}, message, openedCall})
+			message.tries++
 		case Cancel:
-			if !w.settings.MayCancel {
-				w.fatalf("cancel where none is allowed")
+			if !rc.settings.MayCancel {
+				rc.fatalf("cancelled an attempt where MayCancel is false")
 			}
-			for i, q := range w.pending {
-				if r, ok := q.event.(AttemptResult); ok && r.ID == a.ID && r.Attempt == a.Attempt {
+			for i, queued := range rc.pending {
+				if r, ok := queued.event.(AttemptResult); ok && r.ID == a.ID && r.Attempt == a.Attempt {
 					r.Outcome, r.RetryAfter = Cancelled, 0
-					w.pending[i].event, w.pending[i].at = r, w.now+w.settings.Tick
+					rc.pending[i].event, rc.pending[i].at = r, rc.now+rc.settings.Tick
 				}
 			}
 		case Refuse:
-			m := w.messages[a.ID]
-			if m.ended && m.deadline > w.now && !m.class.KeepOrder && m.inFlight {
-				w.fatalf("refused a message with an attempt out")
+			message := rc.messages[a.ID]
+			if message.ended && message.deadline > rc.now && !message.class.KeepOrder && message.inFlight {
+				rc.fatalf("refused a message that has an attempt in flight")
 			}
-			if m.mayHaveRun && m.class.Effect == Unsafe || m.mayHaveRun && m.class.ByZone || m.inFlight {
-				w.fatalf("refused %s, which may have run", a.ID)
+			if message.mayHaveRun && message.class.Effect == Unsafe || message.mayHaveRun && message.class.ByZone ||
+				message.inFlight {
+				rc.fatalf("refused %s, an attempt of which may have run", a.ID)
 			}
-			if a.RetryIn > w.settings.MaxRetryAfter || a.RetryIn > 0 && !w.settings.AdviseRetry {
-				w.fatalf("advice of %d", a.RetryIn)
+			if a.RetryIn > rc.settings.MaxRetryAfter || a.RetryIn > 0 && !rc.settings.AdviseRetry {
+				rc.fatalf("retry advice of %d us, which the settings do not allow", a.RetryIn)
 			}
-			w.endMessage(m)
+			rc.endMessage(message)
 		case Fail:
-			w.endMessage(w.messages[a.ID])
+			rc.endMessage(rc.messages[a.ID])
 		case SetTimer:
-			w.pending = append(w.pending, ruleEvent{w.now + max(a.Wait, 1), TimerExpired{a.Token}, nil, nil})
+			rc.pending = append(rc.pending, ruleEvent{rc.now + max(a.Wait, 1), TimerExpired{a.Token}, nil, nil})
 		case Probe:
-			if !w.settings.MayProbe {
-				w.fatalf("probe where none is allowed")
+			if !rc.settings.MayProbe {
+				rc.fatalf("probe where MayProbe is false")
 			}
-			e := w.endpoints[a.Endpoint]
-			w.checkEndpoint(e)
-			w.checkBudget(e)
-			o, took, _ := w.outcome(e)
-			if o == TimedOut {
-				took = Second
+			endpoint := rc.endpoints[a.Endpoint]
+			rc.checkEndpoint(endpoint)
+			rc.checkBudget(endpoint)
+			outcome, duration, _ := rc.outcome(endpoint)
+			if outcome == TimedOut {
+				duration = Second
 			}
-			w.pending = append(w.pending, ruleEvent{w.now + took, HealthResult{a.Endpoint, o, nil}, nil, nil})
+			rc.pending = append(rc.pending, ruleEvent{rc.now + duration, HealthResult{a.Endpoint, outcome, nil}, nil, nil})
 		}
 	}
 }
 
-func (w *ruleChecker) endMessage(m *ruleMessage) {
-	if m.ended && !m.mayHaveRun && w.now <= m.deadline {
-		w.fatalf("%s ended twice", m.id)
+func (rc *ruleChecker) endMessage(message *ruleMessage) {
+	if message.ended && !message.mayHaveRun && rc.now <= message.deadline {
+		rc.fatalf("message %s ended twice", message.id)
 	}
-	m.ended = true
+	message.ended = true
 }
 
-func (w *ruleChecker) loadReport() []float64 {
-	if w.settings.LimitIndex < 0 {
+func (rc *ruleChecker) loadReport() []float64 {
+	if rc.settings.LimitIndex < 0 {
 		return nil
 	}
-	return []float64{w.rnd.Float64(), 4 + 4*w.rnd.Float64()}
+	return []float64{rc.rnd.Float64(), 4 + 4*rc.rnd.Float64()}
 }
 
-func (w *ruleChecker) checkEndpoint(e *ruleEndpoint) {
-	if e.closed && w.now > e.closedAt+w.settings.DrainGrace {
-		w.fatalf("sent to an endpoint that drains or is gone")
+func (rc *ruleChecker) checkEndpoint(endpoint *ruleEndpoint) {
+	if endpoint.closed && rc.now > endpoint.closedAt+rc.settings.DrainGrace {
+		rc.fatalf("sent to an endpoint that is draining or removed, after the drain grace")
 	}
-	if w.now < w.waitUntil[w.limiterKey(e)] {
-		w.fatalf("sent before a told wait was over")
+	if rc.now < rc.waitUntil[rc.limiterKey(endpoint)] {
+		rc.fatalf("sent before the retry-after time was over")
 	}
 }
 
-func (w *ruleChecker) checkSend(m *ruleMessage, e *ruleEndpoint) {
-	w.checkEndpoint(e)
-	c := m.class
+func (rc *ruleChecker) checkSend(message *ruleMessage, endpoint *ruleEndpoint) {
+	rc.checkEndpoint(endpoint)
+	class := message.class
 	switch {
-	case m.ended:
-		w.fatalf("sent %s after its end", m.id)
-	case m.inFlight:
-		w.fatalf("two attempts of %s at once", m.id)
-	case e.entry.Destination != m.destination:
-		w.fatalf("sent %s elsewhere", m.id)
-	case m.mayHaveRun && c.Effect == Unsafe:
-		w.fatalf("unsafe %s sent again", m.id)
-	case m.mayHaveRun && c.Effect == Keyed && (w.now > m.firstMayHaveRunAt+c.Window || c.ByZone && e.entry.Zone != m.mayHaveRunZone):
-		w.fatalf("keyed %s sent outside its group or window", m.id)
-	case w.settings.MaxTries > 0 && m.tries >= w.settings.MaxTries:
-		w.fatalf("too many attempts of %s", m.id)
-	}
-	if m.key != "" {
-		for _, x := range w.byOrderKey[m.key] {
-			if x == m {
+	case message.ended:
+		rc.fatalf("sent message %s after its end", message.id)
+	case message.inFlight:
+		rc.fatalf("two attempts of message %s in flight at once", message.id)
+	case endpoint.entry.Destination != message.destination:
+		rc.fatalf("sent message %s to another destination", message.id)
+	case message.mayHaveRun && class.Effect == Unsafe:
+		rc.fatalf("sent unsafe message %s again after an attempt that may have run", message.id)
+	case message.mayHaveRun && class.Effect == Keyed && (rc.now > message.firstMayHaveRunAt+class.Window ||
+		class.ByZone && endpoint.entry.Zone != message.mayHaveRunZone):
+		rc.fatalf("repeated keyed message %s outside its zone or window", message.id)
+	case rc.settings.MaxTries > 0 && message.tries >= rc.settings.MaxTries:
+		rc.fatalf("sent message %s more often than MaxTries allows", message.id)
+	}
+	if message.key != "" {
+		for _, earlier := range rc.byOrderKey[message.key] {
+			if earlier == message {
 				break
 			}
-			if !x.ended || x.inFlight {
-				w.fatalf("%s sent before %s of its key was over", m.id, x.id)
+			if !earlier.ended || earlier.inFlight {
+				rc.fatalf("sent message %s before message %s of the same order key had ended", message.id, earlier.id)
 			}
 		}
-		if w.now < w.quietUntil[m.key] && w.quietOwner[m.key] != m {
-			w.fatalf("%s sent while its key rests", m.id)
+		if rc.now < rc.quietUntil[message.key] && rc.quietOwner[message.key] != message {
+			rc.fatalf("sent message %s in the quiet time of its order key", message.id)
 		}
 	}
-	m.inFlight = true
-	if !m.mayHaveRun {
-		m.firstMayHaveRunAt, m.mayHaveRunZone = w.now, e.entry.Zone
+	message.inFlight = true
+	if !message.mayHaveRun {
+		message.firstMayHaveRunAt, message.mayHaveRunZone = rc.now, endpoint.entry.Zone
 	}
 }
 
-// checkBudget holds what goes to destination 1 after its outage against the figures of the rule, for one sender
-// that takes no more than its share, plus six calls for chance and for an endpoint not tried during the outage.
-func (w *ruleChecker) checkBudget(e *ruleEndpoint) {
-	if e.entry.Destination == 1 && w.now < w.outage[0] {
-		w.sentBeforeOutage = append(w.sentBeforeOutage, w.now)
-		w.peakRate = max(w.peakRate, float64(countAfter(w.sentBeforeOutage, w.now-Second)))
-	}
-	if e.entry.Destination != 1 || !w.outageSeen || w.now < w.outage[1] || w.now > w.outage[1]+w.settings.WarmAfter {
+// checkBudget checks that the calls to destination 1 after its outage stay within this sender's share of what overloads
+// a recovering destination, plus six calls for chance and for an endpoint that was not tried during the outage.
+func (rc *ruleChecker) checkBudget(endpoint *ruleEndpoint) {
+	if endpoint.entry.Destination == 1 && rc.now < rc.outage[0] {
+		rc.sentBeforeOutage = append(rc.sentBeforeOutage, rc.now)
+		rc.peakRate = max(rc.peakRate, float64(countAfter(rc.sentBeforeOutage, rc.now-Second)))
+	}
+	if endpoint.entry.Destination != 1 || !rc.outageSeen || rc.now < rc.outage[1] ||
+		rc.now > rc.outage[1]+rc.settings.WarmAfter {
 		return
 	}
-	up := w.settings.ColdFrom + (1-w.settings.ColdFrom)*seconds(w.now-w.outage[1])/seconds(w.settings.WarmAfter)
+	capacityShare := rc.settings.ColdFrom + (1-rc.settings.ColdFrom)*
+		seconds(rc.now-rc.outage[1])/seconds(rc.settings.WarmAfter)
 	routes := 1.0
-	if w.settings.Kinds[e.entry.Kind].SeparateRoutes {
+	if rc.settings.Kinds[endpoint.entry.Kind].SeparateRoutes {
 		routes = 2
 	}
-	limit := 8.0 // the most that a report tells; where none is told, the sender's best second stands for it
-	if w.settings.Weights == WeightsOff && w.settings.LimitIndex < 0 {
-		limit = max(limit, w.peakRate)
+	limit := 8.0 // the highest limit in a load report; without a limit, the sender's peak rate stands for it
+	if rc.settings.Weights == WeightsOff && rc.settings.LimitIndex < 0 {
+		limit = max(limit, rc.peakRate)
 	}
-	most := w.settings.FallMultiple*up*limit*routes*seconds(w.settings.FallWindow)/float64(w.settings.Senders) + 6*routes
-	w.sentWhileRecovering = append(w.sentWhileRecovering, w.now)
-	if n := countAfter(w.sentWhileRecovering, w.now-w.settings.FallWindow); float64(n) > most {
-		w.fatalf("%d calls in a fall window to a cold destination, want at most %.1f", n, most)
+	bound := rc.settings.FallMultiple*capacityShare*limit*routes*
+		seconds(rc.settings.FallWindow)/float64(rc.settings.Senders) + 6*routes
+	rc.sentWhileRecovering = append(rc.sentWhileRecovering, rc.now)
+	if n := countAfter(rc.sentWhileRecovering, rc.now-rc.settings.FallWindow); float64(n) > bound {
+		rc.fatalf("%d calls to a recovering destination in one FallWindow, want at most %.1f", n, bound)
 	}
 }
--- a/logic/list_lease_test.go
+++ b/logic/list_lease_test.go
@@ -6,20 +6,22 @@
 	"testing"
 )
 
-// What changes counts as told some time after discovery had it and could be reached, whatever became of the calls for the
-// list before. The spans are those of the deployment's terms; the client is modelled, the pauses are the module's.
+// A change counts as known to a sender some time after discovery has it and can be reached, however the list requests
+// before ended. These times come from the terms of the deployment. The client for the list is modelled here, the delays
+// between requests are those of package logic.
 const (
-	knownAfter            = 6 * Second  // after discovery has a change and can be reached, or after a watch fell silent ...
-	knownAfterWatchWait   = 2 * Second  // ... and not before this after the watch's wait is over
-	watchWait             = 18 * Second // a watch's wait for news
-	watchLimit            = 19 * Second // when the client gives a silent one up
-	watchReportedMicros   = 2200_000    // when the client says that it waits
-	slackMicros           = 50_000      // of the judge
-	discoveryAnswerMicros = 20_000      // of discovery, once it serves
-	maxListAgeMicros      = 5800_000    // as the sender sets it, beside the grace
+	// after discovery has a change and can be reached, or after a watch got no answer ...
+	knownAfter            = 6 * Second
+	knownAfterWatchWait   = 2 * Second  // ... but not earlier than this after the end of the watch's wait
+	watchWait             = 18 * Second // how long a watch waits for an update
+	watchLimit            = 19 * Second // after this the client gives up a watch without an answer
+	watchReportedMicros   = 2200_000    // after this the client reports that the watch is open
+	slackMicros           = 50_000      // tolerance of the check
+	discoveryAnswerMicros = 20_000      // time to an answer of discovery, once it can be reached
+	maxListAgeMicros      = 5800_000    // as the program sets it, in addition to the drain grace
 )
 
-// failedListCall is what becomes of a call for the list.
+// failedListCall is a way in which a list request fails.
 type failedListCall struct {
 	name     string
 	duration Micros
@@ -29,43 +31,44 @@
 var failedListCalls = []failedListCall{{"refused", 500, false}, {"reset", 30_000, false}, {"silent", 2 * Second, false},
 	{"silent watch", watchLimit, true}, {"nonsense", 12_000, false}, {"503", 15_000, false}}
 
-// drainSlack is one sender through some calls that go wrong, with a change at a time; it returns by how much the last
-// call to the endpoint that drains came before the last moment for it.
-func drainSlack(t *testing.T, senders int, before int, bad []failedListCall, change, grace Micros, seed uint64) (spare Micros) {
+// drainSlack runs one sender through list requests that fail, with an endpoint that begins to drain at a given time. It
+// returns by how much the last call to that endpoint came before the end of the drain grace.
+func drainSlack(t *testing.T, senders int, failedBefore int, failing []failedListCall, change, grace Micros,
+	seed uint64) (slack Micros) {
 	t.Helper()
-	set := baseSettings()
-	set.ListOnRequest, set.Senders, set.DrainGrace = true, senders, grace
+	settings := baseSettings()
+	settings.ListOnRequest, settings.Senders, settings.DrainGrace = true, senders, grace
 	if senders > manySendersAbove {
-		set.MaxListAge = maxListAgeMicros + grace
+		settings.MaxListAge = maxListAgeMicros + grace
 	}
-	r := newHarness(t, set)
-	r.sender.rng = rand.New(rand.NewPCG(seed, 9))
+	h := newHarness(t, settings)
+	h.sender.rng = rand.New(rand.NewPCG(seed, 9))
 	type item struct {
 		at Micros
-		ev Event // nil: a message comes
+		ev Event // nil: a new message arrives
 	}
 	var queue []item
 	add := func(at Micros, ev Event) { queue = append(queue, item{at, ev}) }
-	calls, told := 0, never // calls for the list; when the change counts as told
+	calls, knownAt := 0, never // list requests; when the change counts as known
 	var lastSend Micros
 	add(0, fullList(2))
 	for len(queue) > 0 {
 		next := 0
-		for i, x := range queue {
-			if x.at < queue[next].at {
+		for i, queued := range queue {
+			if queued.at < queue[next].at {
 				next = i
 			}
 		}
 		now, ev := queue[next].at, queue[next].ev
 		queue = append(queue[:next], queue[next+1:]...)
-		if told != never && now > told+grace+3*Second {
-			return told + grace + slackMicros - lastSend
+		if knownAt != never && now > knownAt+grace+3*Second {
+			return knownAt + grace + slackMicros - lastSend
 		}
 		if ev == nil {
-			ev = r.newMessage(0)
+			ev = h.newMessage(0)
 			add(now+50_000, nil)
 		}
-		for _, a := range r.sender.Step(now, []Event{ev}) {
+		for _, a := range h.sender.Step(now, []Event{ev}) {
 			switch a := a.(type) {
 			case SetTimer:
 				add(now+a.Wait, TimerExpired{a.Token})
@@ -76,23 +79,23 @@
 				add(now+10_000, AttemptResult{ID: a.ID, Endpoint: a.Endpoint, Outcome: Completed, MessageEnded: true})
 			case Listen:
 				switch calls++; {
-				case calls <= before:
+				case calls <= failedBefore:
 					add(now+500, ListUpdate{Form: ListRequestFailed})
-				case calls <= before+len(bad):
-					x := bad[calls-before-1]
-					if x.watch {
+				case calls <= failedBefore+len(failing):
+					request := failing[calls-failedBefore-1]
+					if request.watch {
 						add(now+watchReportedMicros, ListUpdate{Form: ListWatchOpen})
 					}
-					add(now+x.duration, ListUpdate{Form: ListRequestFailed})
-					if calls == before+len(bad) { // from now on it could be reached
+					add(now+request.duration, ListUpdate{Form: ListRequestFailed})
+					if calls == failedBefore+len(failing) { // from now on discovery can be reached
 						change += now
-						told = max(now, change) + knownAfter
-						if x.watch {
-							told = max(told, now+watchWait+knownAfterWatchWait)
+						knownAt = max(now, change) + knownAfter
+						if request.watch {
+							knownAt = max(knownAt, now+watchWait+knownAfterWatchWait)
 						}
-						add(told+grace-2*Second, nil)
+						add(knownAt+grace-2*Second, nil)
 					}
-				case calls == before+len(bad)+1:
+				case calls == failedBefore+len(failing)+1:
 					add(max(now+discoveryAnswerMicros, change),
 						ListUpdate{Form: ListDelta, Entries: []Entry{{Endpoint: 1, Destination: 9, State: Draining}}})
 					add(now+discoveryAnswerMicros, ListUpdate{Form: ListWatchOpen})
@@ -100,35 +103,36 @@
 			}
 		}
 	}
-	t.Fatal("discovery was not asked again")
+	t.Fatal("the list was not requested again after the failed requests")
 	return 0
 }
 
-// Three calls for the list go wrong in each order, after some time without discovery or none; then it can be reached.
-// Nothing goes to an endpoint that drains after the change counts as told and the grace is over.
+// Guards against sends to a draining endpoint after the change counts as known and the drain grace is over. They come
+// about when list requests fail: here three of them, in each order, after some time without discovery or none.
 func TestNoSendAfterDrainGraceDespiteFailedListCalls(t *testing.T) {
 	for _, senders := range []int{2, 36, 80, 540} {
-		worst, text := never, ""
+		worst, worstText := never, ""
 		n := uint64(0)
 		for _, a := range failedListCalls {
 			for _, b := range failedListCalls {
 				for _, c := range failedListCalls {
-					for _, change := range []Micros{-Second, Second, 4 * Second, 12 * Second} { // since the last bad call began
+					for _, change := range []Micros{-Second, Second, 4 * Second, 12 * Second} { // since the last failed request began
 						n++
 						grace := []Micros{Second, Second / 4}[n%2]
-						bad := []failedListCall{a, b, c}
-						spare := drainSlack(t, senders, int(n/2%4), bad, change, grace, n)
-						if spare < worst {
-							worst, text = spare, fmt.Sprintf("%s, %s, %s, change at %d, grace %d", a.name, b.name, c.name, change, grace)
+						failing := []failedListCall{a, b, c}
+						slack := drainSlack(t, senders, int(n/2%4), failing, change, grace, n)
+						if slack < worst {
+							worst, worstText = slack, fmt.Sprintf("%s, %s, %s, change at %d, grace %d",
+								a.name, b.name, c.name, change, grace)
 						}
-						if spare < 0 {
-							t.Errorf("%d senders, %s, %s, %s: sent %.2f s after a change counts as told (%.1f s after the last call began)",
-								senders, a.name, b.name, c.name, -seconds(spare), seconds(change))
+						if slack < 0 {
+							t.Errorf("%d senders, %s, %s, %s: sent %.2f s too late for a change %.1f s after the last failed request began",
+								senders, a.name, b.name, c.name, -seconds(slack), seconds(change))
 						}
 					}
 				}
 			}
 		}
-		t.Logf("%d senders: worst %.2f s to spare: %s", senders, seconds(worst), text)
+		t.Logf("%d senders: smallest slack %.2f s: %s", senders, seconds(worst), worstText)
 	}
 }
--- a/logic/membership_test.go
+++ b/logic/membership_test.go
@@ -2,156 +2,167 @@
 
 import "testing"
 
-// Where an agent pushes the list, sends go on for the drain's grace after a watch has ended, less the time that a sender
-// may be held up, and stop then until the next news: unless the agent says nothing, which has lost discovery. A start
-// sends nothing before its first answer, or half of a message's time.
+// Guards against sends on a stale list where an agent pushes it. After a watch has ended, sends go on for the drain
+// grace less the processing delay, and stop then until the next update. If the agent is unresponsive they go on: it has
+// lost discovery and learns nothing new. After a start nothing is sent before the first answer, or before half of a
+// message's time is over.
 func TestPushedListIsUsedForTheDrainGrace(t *testing.T) {
 	const grace = Second
 	lease := seconds(grace - maxProcessingDelay)
-	watched, silent := ListUpdate{Form: ListWatchOpen}, ListUpdate{Form: ListRequestFailed, Unresponsive: true}
-	failed, unusable, begun := ListUpdate{Form: ListRequestFailed}, ListUpdate{Form: ListAnswerUnusable}, ListUpdate{Form: ListAnswerBegun}
-	news := ListUpdate{Form: ListDelta}
-	type at struct {
-		t  float64
-		ev ListUpdate
+	watched, unresponsive := ListUpdate{Form: ListWatchOpen}, ListUpdate{Form: ListRequestFailed, Unresponsive: true}
+	failed, unusable, begun :=
+		ListUpdate{Form: ListRequestFailed}, ListUpdate{Form: ListAnswerUnusable}, ListUpdate{Form: ListAnswerBegun}
+	update := ListUpdate{Form: ListDelta}
+	type timed struct {
+		at     float64
+		update ListUpdate
 	}
-	for name, x := range map[string]struct {
-		start bool // on a list that is as it was before the start
-		evs   []at
-		at    float64
-		sent  bool
+	for name, tc := range map[string]struct {
+		saved   bool // the list is the one saved before the start
+		updates []timed
+		at      float64
+		sent    bool
 	}{
-		"watched for long":                     {false, []at{{0.1, watched}}, 30, true},
-		"news, no watch yet":                   {false, []at{{5, news}}, 5 + lease - 0.01, true},
-		"news, no watch for the grace":         {false, []at{{5, news}}, 5 + lease + 0.01, false},
-		"the watch broke":                      {false, []at{{0.1, watched}, {9, failed}}, 9 + lease - 0.01, true},
-		"the watch broke, and nothing came":    {false, []at{{0.1, watched}, {9, failed}}, 9 + lease + 0.01, false},
-		"an answer began under the watch":      {false, []at{{0.1, watched}, {9, begun}}, 9 + lease + 0.01, false},
-		"it could not be used":                 {false, []at{{0.1, watched}, {9, begun}, {9.7, unusable}}, 9 + lease + 0.01, false},
-		"nor were those for seconds":           {false, []at{{0.1, watched}, {9, unusable}, {12, failed}, {15, failed}}, 16, false},
-		"then news":                            {false, []at{{0.1, watched}, {9, unusable}, {12, failed}, {15, news}}, 15.1, true},
-		"the watch fell silent, the agent too": {false, []at{{0.1, watched}, {9, failed}, {9.3, silent}}, 20, true},
-		"back with an answer of no use":        {false, []at{{0.1, watched}, {9, silent}, {9.3, silent}, {15, unusable}}, 15 + lease + 0.01, false},
-		"silent once, after one of no use":     {false, []at{{0.1, watched}, {9, unusable}, {9.5, silent}}, 12, false},
-		"a start":                              {true, nil, 0.01, false},
-		"a start, answered":                    {true, []at{{0.01, news}}, 0.02, true},
-		"a start, nobody answers":              {true, []at{{0.3, silent}, {0.7, silent}}, 2, false},
-		"a start, answered with no use":        {true, []at{{0.3, unusable}, {0.7, failed}}, 9, false},
+		"watch open for long":                  {false, []timed{{0.1, watched}}, 30, true},
+		"update, no watch yet":                 {false, []timed{{5, update}}, 5 + lease - 0.01, true},
+		"update, no watch for the grace":       {false, []timed{{5, update}}, 5 + lease + 0.01, false},
+		"watch failed":                         {false, []timed{{0.1, watched}, {9, failed}}, 9 + lease - 0.01, true},
+		"watch failed, no update since":        {false, []timed{{0.1, watched}, {9, failed}}, 9 + lease + 0.01, false},
+		"answer begun while the watch is open": {false, []timed{{0.1, watched}, {9, begun}}, 9 + lease + 0.01, false},
+		"answer begun, then unusable": {false, []timed{{0.1, watched}, {9, begun}, {9.7, unusable}},
+			9 + lease + 0.01, false},
+		"no usable answer for seconds": {false, []timed{{0.1, watched}, {9, unusable}, {12, failed}, {15, failed}},
+			16, false},
+		"update after an unusable answer": {false, []timed{{0.1, watched}, {9, unusable}, {12, failed}, {15, update}},
+			15.1, true},
+		"watch failed, then the agent unresponsive": {false, []timed{{0.1, watched}, {9, failed}, {9.3, unresponsive}},
+			20, true},
+		"agent back with an unusable answer": {false,
+			[]timed{{0.1, watched}, {9, unresponsive}, {9.3, unresponsive}, {15, unusable}},
+			15 + lease + 0.01, false},
+		"unresponsive once, after an unusable answer": {false, []timed{{0.1, watched}, {9, unusable}, {9.5, unresponsive}},
+			12, false},
+		"after a start":                     {true, nil, 0.01, false},
+		"after a start, answered":           {true, []timed{{0.01, update}}, 0.02, true},
+		"after a start, agent unresponsive": {true, []timed{{0.3, unresponsive}, {0.7, unresponsive}}, 2, false},
+		"after a start, unusable answer":    {true, []timed{{0.3, unusable}, {0.7, failed}}, 9, false},
 	} {
-		set := baseSettings()
-		set.ListPushed, set.DrainGrace = true, grace
-		r := newHarness(t, set)
+		settings := baseSettings()
+		settings.ListPushed, settings.DrainGrace = true, grace
+		h := newHarness(t, settings)
 		first := fullList(1)
-		first.Form, first.Stale = ListCached, x.start
-		r.step(0, first)
-		for _, e := range x.evs {
-			r.step(e.t, e.ev)
+		first.Form, first.Stale = ListCached, tc.saved
+		h.step(0, first)
+		for _, e := range tc.updates {
+			h.step(e.at, e.update)
 		}
-		if n := len(actionsOf[CallOut](r.step(x.at, r.newMessage(0)))); (n == 1) != x.sent {
-			t.Errorf("%s: %d sends at %.2f, want %v", name, n, x.at, x.sent)
+		if n := len(actionsOf[CallOut](h.step(tc.at, h.newMessage(0)))); (n == 1) != tc.sent {
+			t.Errorf("%s: got %d sends at %.2f s, want a send: %v", name, n, tc.at, tc.sent)
 		}
 	}
 }
 
-// newSavedListHarness is a sender with a grace of a second that starts on a list that may be old, where an agent pushes it.
+// newSavedListHarness returns a sender with a drain grace of one second, to which an agent pushes the list, just after
+// its start on a saved list that may be stale.
 func newSavedListHarness(t *testing.T) *harness {
-	set := baseSettings()
-	set.ListPushed, set.DrainGrace = true, Second
-	r := newHarness(t, set)
+	settings := baseSettings()
+	settings.ListPushed, settings.DrainGrace = true, Second
+	h := newHarness(t, settings)
 	first := fullList(1)
 	first.Form, first.Stale = ListCached, true
-	r.step(0, first)
-	return r
+	h.step(0, first)
+	return h
 }
 
-// A message waits for an agent that is silent at a start for half of its time, and for one whose answers are of no use for
-// as long as they come.
+// Guards against sends on a saved list before the agent's first answer. With an unresponsive agent a message waits for
+// half of its time, and with unusable answers for as long as they come.
 func TestStartWaitsForTheAgentsAnswer(t *testing.T) {
-	for _, x := range []struct {
-		ev   ListUpdate
-		half bool
+	for _, tc := range []struct {
+		update        ListUpdate
+		sentAfterHalf bool // the message is sent after half of its time
 	}{{ListUpdate{Form: ListRequestFailed, Unresponsive: true}, true}, {ListUpdate{Form: ListAnswerUnusable}, false}} {
-		r := newSavedListHarness(t)
-		c := r.newMessage(0)
-		c.TimeLeft = 8 * Second
-		r.step(0.1, c)
-		r.step(0.3, x.ev)
-		if n := len(actionsOf[CallOut](r.step(3))); n != 0 {
-			t.Errorf("%+v: sent before half of its time", x.ev)
+		h := newSavedListHarness(t)
+		m := h.newMessage(0)
+		m.TimeLeft = 8 * Second
+		h.step(0.1, m)
+		h.step(0.3, tc.update)
+		if n := len(actionsOf[CallOut](h.step(3))); n != 0 {
+			t.Errorf("%+v: message sent before half of its time was over", tc.update)
 		}
-		if n := len(actionsOf[CallOut](r.step(4.2))); (n == 1) != x.half {
-			t.Errorf("%+v: %d sends after half of its time", x.ev, n)
+		if n := len(actionsOf[CallOut](h.step(4.2))); (n == 1) != tc.sentAfterHalf {
+			t.Errorf("%+v: got %d sends after half of its time", tc.update, n)
 		}
 	}
 }
 
-// A message with little time left was sent on the saved list of a start before the agent could answer.
+// Guards against a message with little time left that is sent on the saved list before the agent can answer, because
+// half of its time is over sooner.
 func TestShortMessageWaitsForTheFirstAnswer(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		at     float64
 		answer bool
 		sent   bool
 	}{{0.12, false, false}, {0.12, true, true}, {0.25, false, false}} {
-		r := newSavedListHarness(t)
-		c := r.newMessage(0)
-		c.TimeLeft = Second / 5
-		sent := len(actionsOf[CallOut](r.step(0.01, c)))
-		if x.answer {
-			sent += len(actionsOf[CallOut](r.step(0.02, ListUpdate{Form: ListDelta})))
+		h := newSavedListHarness(t)
+		m := h.newMessage(0)
+		m.TimeLeft = Second / 5
+		sent := len(actionsOf[CallOut](h.step(0.01, m)))
+		if tc.answer {
+			sent += len(actionsOf[CallOut](h.step(0.02, ListUpdate{Form: ListDelta})))
 		}
-		sent += len(actionsOf[CallOut](r.step(x.at)))
-		if (sent == 1) != x.sent {
-			t.Errorf("%+v: %d sends", x, sent)
+		sent += len(actionsOf[CallOut](h.step(tc.at)))
+		if (sent == 1) != tc.sent {
+			t.Errorf("%+v: got %d sends", tc, sent)
 		}
 	}
 }
 
-// A stop told in the middle of a start had messages sent on the saved list before the agent's first answer.
+// Guards against sends on the saved list before the agent's first answer when a stop is announced during a start.
 func TestStopDuringStartWaitsForTheAgent(t *testing.T) {
-	for _, x := range []struct {
-		ev   ListUpdate
-		half bool // sent after half of its time
+	for _, tc := range []struct {
+		update        ListUpdate
+		sentAfterHalf bool // the message is sent after half of its time
 	}{{ListUpdate{Form: ListRequestFailed, Unresponsive: true}, true}, {ListUpdate{Form: ListAnswerBegun}, false}} {
-		r := newSavedListHarness(t)
-		c := r.newMessage(0)
-		c.TimeLeft = 2 * Second
-		r.step(0.1, c)
-		if n := len(actionsOf[CallOut](r.step(0.15, Stopping{TimeLeft: 3200_000}))); n != 0 {
-			t.Errorf("%+v: sent at the stop", x.ev)
+		h := newSavedListHarness(t)
+		m := h.newMessage(0)
+		m.TimeLeft = 2 * Second
+		h.step(0.1, m)
+		if n := len(actionsOf[CallOut](h.step(0.15, Stopping{TimeLeft: 3200_000}))); n != 0 {
+			t.Errorf("%+v: message sent when the stop was announced", tc.update)
 		}
-		if n := len(actionsOf[CallOut](r.step(0.3, x.ev))); n != 0 {
-			t.Errorf("%+v: sent before half of its time", x.ev)
+		if n := len(actionsOf[CallOut](h.step(0.3, tc.update))); n != 0 {
+			t.Errorf("%+v: message sent before half of its time was over", tc.update)
 		}
-		if n := len(actionsOf[CallOut](r.step(1.2))); (n == 1) != x.half {
-			t.Errorf("%+v: %d sends after half of its time", x.ev, n)
+		if n := len(actionsOf[CallOut](h.step(1.2))); (n == 1) != tc.sentAfterHalf {
+			t.Errorf("%+v: got %d sends after half of its time", tc.update, n)
 		}
 	}
 }
 
-// A process that takes over has no watch yet: the list is good for the grace from then on. An agent that is silent has
-// lost discovery, for it as for the one before.
+// A process that takes over has no watch yet, so the list is valid for the drain grace from the takeover. An
+// unresponsive agent has lost discovery, for this process as for the one before.
 func TestTakeoverRestartsTheLease(t *testing.T) {
-	for _, x := range []struct {
-		at     float64
-		silent bool
-		sent   bool
+	for _, tc := range []struct {
+		at           float64
+		unresponsive bool
+		sent         bool
 	}{{20.5, false, true}, {21, false, false}, {21, true, true}} {
-		set := baseSettings()
-		set.ListPushed, set.DrainGrace = true, Second
-		r := newHarness(t, set)
-		r.step(0, fullList(1))
-		r.step(0.1, ListUpdate{Form: ListWatchOpen})
-		r.step(20)
-		s, err := Resume(set, 7, r.sender.Save())
+		settings := baseSettings()
+		settings.ListPushed, settings.DrainGrace = true, Second
+		h := newHarness(t, settings)
+		h.step(0, fullList(1))
+		h.step(0.1, ListUpdate{Form: ListWatchOpen})
+		h.step(20)
+		s, err := Resume(settings, 7, h.sender.Save())
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.sender = s
-		if x.silent {
-			r.step(20.4, ListUpdate{Form: ListRequestFailed, Unresponsive: true})
+		h.sender = s
+		if tc.unresponsive {
+			h.step(20.4, ListUpdate{Form: ListRequestFailed, Unresponsive: true})
 		}
-		if n := len(actionsOf[CallOut](r.step(x.at, r.newMessage(0)))); (n == 1) != x.sent {
-			t.Errorf("%+v: %d sends", x, n)
+		if n := len(actionsOf[CallOut](h.step(tc.at, h.newMessage(0)))); (n == 1) != tc.sent {
+			t.Errorf("%+v: got %d sends", tc, n)
 		}
 	}
 }
