--- a/logic/memory_test.go
+++ b/logic/memory_test.go
@@ -8,23 +8,25 @@
 	"testing"
 )
 
-// largeList lists destinations with a number of endpoints each.
-func largeList(dests, each int) ListUpdate {
-	ev := ListUpdate{Form: ListFull, Entries: make([]Entry, 0, dests*each)}
-	for d := range dests {
-		for e := range each {
-			ev.Entries = append(ev.Entries, Entry{Endpoint: EndpointID(d*each + e + 1), Destination: int64(d), Zone: e % 6, Nominal: 30})
+// largeList returns a full list of destinations with endpointsEach endpoints each.
+func largeList(destinations, endpointsEach int) ListUpdate {
+	list := ListUpdate{Form: ListFull, Entries: make([]Entry, 0, destinations*endpointsEach)}
+	for destination := range destinations {
+		for endpoint := range endpointsEach {
+			list.Entries = append(list.Entries, Entry{Endpoint: EndpointID(destination*endpointsEach + endpoint + 1),
+				Destination: int64(destination), Zone: endpoint % 6, Nominal: 30})
 		}
 	}
-	return ev
+	return list
 }
 
-// largeSettings are those of one sender of the target: 540 senders, six zones.
+// largeSettings returns the settings of one sender of the target deployment: 540 senders, six zones.
 func largeSettings() Settings {
-	set := baseSettings()
-	set.Senders, set.Zones, set.Slots, set.MaxOpen, set.ConnCalls, set.ConnIdle = 540, 6, 4000, 20_000, 1, 10*Second
-	set.Weights = WeightsNominal
-	return set
+	settings := baseSettings()
+	settings.Senders, settings.Zones, settings.Slots, settings.MaxOpen, settings.ConnCalls, settings.ConnIdle = 540, 6,
+		4000, 20_000, 1, 10*Second
+	settings.Weights = WeightsNominal
+	return settings
 }
 
 func liveHeap() uint64 {
@@ -35,44 +37,45 @@
 	return m.HeapAlloc
 }
 
-// runTraffic makes each destination serve some messages, 50 s apart, as the target has it at one sender.
-func runTraffic(s *Sender, now Micros, dests, rounds int) Micros {
+// runTraffic sends each destination one message every 50 s, as a sender of the target deployment does.
+func runTraffic(s *Sender, now Micros, destinations, rounds int) Micros {
 	id := 0
 	for range rounds {
-		gap := 50 * Second / Micros(dests)
-		for d := range dests {
-			now += gap
+		interval := 50 * Second / Micros(destinations)
+		for destination := range destinations {
+			now += interval
 			id++
-			call := NewMessage{ID: fmt.Sprint(id), TimeLeft: 10 * Second, Destination: int64(d), Tenant: -1}
+			call := NewMessage{ID: fmt.Sprint(id), TimeLeft: 10 * Second, Destination: int64(destination), Tenant: -1}
 			for _, c := range actionsOf[CallOut](s.Step(now, []Event{call})) {
-				took := 20_000 + Micros(id*7919%60_000)
-				s.Step(now+took/1000, []Event{AttemptResult{ID: c.ID, Endpoint: c.Endpoint, Outcome: Completed, MessageEnded: true, Duration: took}})
+				duration := 20_000 + Micros(id*7919%60_000)
+				s.Step(now+duration/1000, []Event{AttemptResult{ID: c.ID, Endpoint: c.Endpoint, Outcome: Completed,
+					MessageEnded: true, Duration: duration}})
 			}
 		}
 	}
 	return now
 }
 
-// BenchmarkDestinations reports what the module holds for a destination, on the list only and with traffic of 0.02
+// BenchmarkDestinations reports the heap bytes for each destination: with the list only, and with traffic of 0.02
 // messages a second at each.
 func BenchmarkDestinations(b *testing.B) {
-	for _, dests := range []int{1000, 10_000, 50_000, 100_000} {
-		for _, each := range []int{1, 2} {
+	for _, destinations := range []int{1000, 10_000, 50_000, 100_000} {
+		for _, endpointsEach := range []int{1, 2} {
 			for _, rounds := range []int{0, 4} {
-				b.Run(fmt.Sprintf("dests=%d/endpoints=%d/rounds=%d", dests, each, rounds), func(b *testing.B) {
-					set, list := largeSettings(), largeList(dests, each)
+				b.Run(fmt.Sprintf("dests=%d/endpoints=%d/rounds=%d", destinations, endpointsEach, rounds), func(b *testing.B) {
+					settings, list := largeSettings(), largeList(destinations, endpointsEach)
 					for b.Loop() {
 						b.StopTimer()
 						before := liveHeap()
 						b.StartTimer()
-						s, err := New(set, 1)
+						s, err := New(settings, 1)
 						if err != nil {
 							b.Fatal(err)
 						}
 						s.Step(0, []Event{list})
 						b.StopTimer()
-						runTraffic(s, 0, dests, rounds)
-						b.ReportMetric(float64(liveHeap()-before)/float64(dests), "B/dest")
+						runTraffic(s, 0, destinations, rounds)
+						b.ReportMetric(float64(liveHeap()-before)/float64(destinations), "B/dest")
 						runtime.KeepAlive(s)
 						b.StartTimer()
 					}
@@ -82,36 +85,36 @@
 	}
 }
 
-// BenchmarkListChange is one change of the list, and BenchmarkWhole a whole list that changes nothing.
+// BenchmarkListChange measures one change of the list, and BenchmarkFullList a full list that changes nothing.
 func BenchmarkListChange(b *testing.B) {
-	for _, dests := range []int{1000, 10_000, 100_000} {
-		b.Run(fmt.Sprintf("dests=%d", dests), func(b *testing.B) {
+	for _, destinations := range []int{1000, 10_000, 100_000} {
+		b.Run(fmt.Sprintf("dests=%d", destinations), func(b *testing.B) {
 			s, err := New(largeSettings(), 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			list := largeList(dests, 2)
+			list := largeList(destinations, 2)
 			s.Step(0, []Event{list})
 			now := Micros(0)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now += 1000
-				row := list.Entries[i*7919%len(list.Entries)]
-				row.State = EndpointState(i % 3)
-				s.Step(now, []Event{ListUpdate{Form: ListDelta, Entries: []Entry{row}}})
+				entry := list.Entries[i*7919%len(list.Entries)]
+				entry.State = EndpointState(i % 3)
+				s.Step(now, []Event{ListUpdate{Form: ListDelta, Entries: []Entry{entry}}})
 			}
 		})
 	}
 }
 
 func BenchmarkFullList(b *testing.B) {
-	for _, dests := range []int{1000, 10_000, 100_000} {
-		b.Run(fmt.Sprintf("dests=%d", dests), func(b *testing.B) {
+	for _, destinations := range []int{1000, 10_000, 100_000} {
+		b.Run(fmt.Sprintf("dests=%d", destinations), func(b *testing.B) {
 			s, err := New(largeSettings(), 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			list := largeList(dests, 2)
+			list := largeList(destinations, 2)
 			b.ReportAllocs()
 			for b.Loop() {
 				s.Step(0, []Event{list})
@@ -120,7 +123,7 @@
 	}
 }
 
-// BenchmarkOneDestination is a list with all of its entries at one destination, which no list should have.
+// BenchmarkOneDestination measures a list with all of its entries at one destination, which no list should have.
 func BenchmarkOneDestination(b *testing.B) {
 	for _, n := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
@@ -131,34 +134,35 @@
 				}
 				s.Step(0, []Event{largeList(1, n)})
 				s.Step(1, []Event{NewMessage{ID: "a", TimeLeft: 10 * Second, Tenant: -1}})
-				gone := largeList(1, n)
-				gone.Form = ListDelta
-				for i := range gone.Entries {
-					gone.Entries[i].State = Removed
+				removed := largeList(1, n)
+				removed.Form = ListDelta
+				for i := range removed.Entries {
+					removed.Entries[i].State = Removed
 				}
-				s.Step(2, []Event{gone})
+				s.Step(2, []Event{removed})
 			}
 		})
 	}
 }
 
-// TestMemoryPerDestination bounds what the module holds for a destination with two endpoints, called now and then: a
-// fifth of a sender's 256 MB for control at 100,000, with half as much again for what the list grows by.
+// TestMemoryPerDestination bounds the heap bytes for a destination with two endpoints and little traffic. The bound
+// comes from a fifth of the 256 MB that a sender has for control, at 100,000 destinations, and half as much again for
+// growth of the list.
 func TestMemoryPerDestination(t *testing.T) {
-	const dests, most = 20_000, 900
-	list := largeList(dests, 2)
+	const destinations, bound = 20_000, 900
+	list := largeList(destinations, 2)
 	before := liveHeap()
 	s, err := New(largeSettings(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Step(0, []Event{list})
-	now := runTraffic(s, 0, dests, 4)
-	if n := (int64(liveHeap()) - int64(before)) / dests; n > most {
-		t.Errorf("%d B a destination, want at most %d", n, most)
+	now := runTraffic(s, 0, destinations, 4)
+	if n := (int64(liveHeap()) - int64(before)) / destinations; n > bound {
+		t.Errorf("got %d B for each destination, want at most %d", n, bound)
 	}
-	// What was learned goes once it has aged, though no message comes for most of them.
-	learned := func() (n int) {
+	// Learned state is dropped after idleStateAge, though no message comes for most destinations.
+	withHistogram := func() (n int) {
 		for _, d := range s.destinationOrder {
 			if d.histogram.bins != nil {
 				n++
@@ -166,43 +170,44 @@
 		}
 		return n
 	}
-	if n := learned(); n != dests {
-		t.Errorf("%d destinations have learned something after traffic, want all %d", n, dests)
+	if n := withHistogram(); n != destinations {
+		t.Errorf("got %d destinations with a latency histogram after traffic, want all %d", n, destinations)
 	}
 	now += idleStateAge
-	for i := range dests {
-		s.Step(now, []Event{NewMessage{ID: fmt.Sprint("x", i), TimeLeft: 10 * Second, Destination: 0, Tenant: -1}, ClientGone{ID: fmt.Sprint("x", i)}})
+	for i := range destinations {
+		s.Step(now, []Event{NewMessage{ID: fmt.Sprint("x", i), TimeLeft: 10 * Second, Destination: 0, Tenant: -1},
+			ClientGone{ID: fmt.Sprint("x", i)}})
 	}
-	if n := learned(); n > 1 {
-		t.Errorf("%d destinations have kept what has aged", n)
+	if n := withHistogram(); n > 1 {
+		t.Errorf("got %d destinations with a latency histogram after idleStateAge, want at most 1", n)
 	}
 	runtime.KeepAlive(list)
 }
 
-// denseHistogram is the histogram with all of its bins.
+// denseHistogram is a histogram that stores all of its bins.
 type denseHistogram struct {
 	weights [binCount + 1]float64
 	histogram
 }
 
-func (h *denseHistogram) add(now, took Micros, cut bool) {
-	f := math.Exp2(-float64(now-h.updatedAt) / float64(histogramHalfLife))
+func (h *denseHistogram) add(now, duration Micros, cutOff bool) {
+	factor := math.Exp2(-float64(now-h.updatedAt) / float64(histogramHalfLife))
 	h.updatedAt = now
 	for i := range h.weights {
-		h.weights[i] *= f
+		h.weights[i] *= factor
 	}
-	h.total, h.cutOffs = h.total*f, h.cutOffs*f
-	if cut {
+	h.total, h.cutOffs = h.total*factor, h.cutOffs*factor
+	if cutOff {
 		h.cutOffs++
 	} else {
-		h.weights[binIndex(took)]++
+		h.weights[binIndex(duration)]++
 		h.total++
 	}
 	h.bins = &binWeights{0, h.weights[:]}
 	h.recompute()
 }
 
-// Bins that are not kept change nothing that is read of a histogram.
+// Guards against results that differ because a histogram does not store its empty bins.
 func TestSparseHistogramMatchesDense(t *testing.T) {
 	for seed := range uint64(20) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
@@ -210,45 +215,48 @@
 		var sparse histogram
 		now := Micros(rnd.Int64N(int64(1000 * Second)))
 		for i := range 5000 {
-			gap := Micros(rnd.ExpFloat64() * float64(Second) * []float64{0.01, 1, 30}[seed%3])
+			interval := Micros(rnd.ExpFloat64() * float64(Second) * []float64{0.01, 1, 30}[seed%3])
 			if rnd.IntN(1000) == 0 {
-				gap = idleStateAge * Micros(rnd.IntN(40))
+				interval = idleStateAge * Micros(rnd.IntN(40))
 			}
-			now += gap
-			took, cut := Micros(rnd.ExpFloat64()*50_000), rnd.IntN(15) == 0
+			now += interval
+			duration, cutOff := Micros(rnd.ExpFloat64()*50_000), rnd.IntN(15) == 0
 			if rnd.IntN(50) == 0 {
-				took = Micros(rnd.Int64N(int64(100 * Second)))
+				duration = Micros(rnd.Int64N(int64(100 * Second)))
 			}
-			dense.add(now, took, cut)
-			sparse.add(now, took, cut)
-			believed := dense.total >= minSamples
+			dense.add(now, duration, cutOff)
+			sparse.add(now, duration, cutOff)
+			enoughSamples := dense.total >= minSamples
 			if sparse.total != dense.total || sparse.cutOffs != dense.cutOffs || sparse.tau != dense.tau ||
-				believed && (sparse.median != dense.median || sparse.p95 != dense.p95) {
-				t.Fatalf("seed %d, sample %d: %+v, with all bins %+v", seed, i, sparse, dense.histogram)
+				enoughSamples && (sparse.median != dense.median || sparse.p95 != dense.p95) {
+				t.Fatalf("seed %d, sample %d: got %+v, want %+v as with all bins", seed, i, sparse, dense.histogram)
 			}
 		}
 	}
 }
 
-// What nothing is known of but the list costs a transfer little more than its names; what was learned, a few numbers.
+// Guards against a state transfer that grows too large: a destination known from the list only takes little more than
+// its IDs, and one with learned state a few numbers more.
 func TestTableRowsAreSmall(t *testing.T) {
-	for _, x := range []struct{ senders, rounds, most int }{{1, 0, 30}, {540, 0, 45}, {540, 4, 200}} {
-		set := largeSettings()
-		set.Senders = x.senders
-		s, err := New(set, 1)
+	for _, tc := range []struct{ senders, rounds, maxBytes int }{{1, 0, 30}, {540, 0, 45}, {540, 4, 200}} {
+		settings := largeSettings()
+		settings.Senders = tc.senders
+		s, err := New(settings, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		const dests = 2000
-		s.Step(0, []Event{largeList(dests, 2)})
-		runTraffic(s, 0, dests, x.rounds)
+		const destinations = 2000
+		s.Step(0, []Event{largeList(destinations, 2)})
+		runTraffic(s, 0, destinations, tc.rounds)
 		bytes := 0
 		for row := range s.TableRows() {
 			bytes += len(row)
 		}
-		t.Logf("%d senders, %d messages each: %d B a destination with two endpoints", x.senders, x.rounds, bytes/dests)
-		if bytes/dests > x.most {
-			t.Errorf("%d senders, %d messages each: %d B a destination, want at most %d", x.senders, x.rounds, bytes/dests, x.most)
+		t.Logf("%d senders, %d messages each: %d B for each destination with two endpoints", tc.senders, tc.rounds,
+			bytes/destinations)
+		if bytes/destinations > tc.maxBytes {
+			t.Errorf("%d senders, %d messages each: got %d B for each destination, want at most %d", tc.senders, tc.rounds,
+				bytes/destinations, tc.maxBytes)
 		}
 	}
 }
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -8,38 +8,46 @@
 	"testing"
 )
 
-// settingsVariants are deployments unlike each other; each must keep the six rules under random outcomes.
+// settingsVariants returns deployments that differ; each must keep the six rules under random outcomes.
 func settingsVariants() map[string]Settings {
-	make := func(f func(*Settings)) Settings { s := baseSettings(); f(&s); return s }
+	variant := func(change func(*Settings)) Settings { s := baseSettings(); change(&s); return s }
 	return map[string]Settings{
 		"plain":     baseSettings(),
-		"one class": make(func(s *Settings) { s.Classes = s.Classes[2:] }),
-		"tenants":   make(func(s *Settings) { s.Tenants = []Tenant{{"x", 2}, {"y", 1}, {"z", 0}}; s.OverShareWorth = 0.2 }),
-		"zones":     make(func(s *Settings) { s.Zones, s.Zone = 2, 1; s.Classes[1].ByZone = true }),
-		"ordered":   make(func(s *Settings) { s.KeyQuiet = Second; s.Classes[0].KeepOrder, s.Classes[2].KeepOrder = true, true }),
-		"batches":   make(func(s *Settings) { s.Kinds[0].Batch = 10 }),
-		"apart": make(func(s *Settings) {
+		"one class": variant(func(s *Settings) { s.Classes = s.Classes[2:] }),
+		"tenants": variant(func(s *Settings) {
+			s.Tenants = []Tenant{{"x", 2}, {"y", 1},
+				{"z", 0}}
+			s.OverShareWorth = 0.2
+		}),
+		"zones": variant(func(s *Settings) { s.Zones, s.Zone = 2, 1; s.Classes[1].ByZone = true }),
+		"ordered": variant(func(s *Settings) {
+			s.KeyQuiet = Second
+			s.Classes[0].KeepOrder, s.Classes[2].KeepOrder = true,
+				true
+		}),
+		"batches": variant(func(s *Settings) { s.Kinds[0].Batch = 10 }),
+		"apart": variant(func(s *Settings) {
 			s.Kinds = []Kind{{Name: "k", SeparateRoutes: true, Batch: 1}, {Name: "l", Batch: 3}}
 		}),
-		"weights":    make(func(s *Settings) { s.Weights = WeightsNominal }),
-		"rough":      make(func(s *Settings) { s.Weights = WeightsRough }),
-		"probing":    make(func(s *Settings) { s.MayProbe, s.WorthHalves = true, true }),
-		"on request": make(func(s *Settings) { s.ListOnRequest = true }),
-		"one slot":   make(func(s *Settings) { s.Slots = 1 }),
-		"tiny hold":  make(func(s *Settings) { s.MaxOpen = 3 }),
-		"no advice":  make(func(s *Settings) { s.AdviseRetry, s.MaxRetryAfter = false, 0 }),
-		"no cancel":  make(func(s *Settings) { s.MayCancel = false }),
-		"reports":    make(func(s *Settings) { s.LimitLeftIndex, s.LimitIndex = 0, 1; s.Senders = 9 }),
-		"no limits":  make(func(s *Settings) { s.MaxOpen, s.MaxTries, s.Slots = 0, 0, 40 }),
-		"short tick": make(func(s *Settings) { s.Tick = 1000; s.DrainGrace = 0 }),
+		"weights":    variant(func(s *Settings) { s.Weights = WeightsNominal }),
+		"rough":      variant(func(s *Settings) { s.Weights = WeightsRough }),
+		"probing":    variant(func(s *Settings) { s.MayProbe, s.WorthHalves = true, true }),
+		"on request": variant(func(s *Settings) { s.ListOnRequest = true }),
+		"one slot":   variant(func(s *Settings) { s.Slots = 1 }),
+		"tiny hold":  variant(func(s *Settings) { s.MaxOpen = 3 }),
+		"no advice":  variant(func(s *Settings) { s.AdviseRetry, s.MaxRetryAfter = false, 0 }),
+		"no cancel":  variant(func(s *Settings) { s.MayCancel = false }),
+		"reports":    variant(func(s *Settings) { s.LimitLeftIndex, s.LimitIndex = 0, 1; s.Senders = 9 }),
+		"no limits":  variant(func(s *Settings) { s.MaxOpen, s.MaxTries, s.Slots = 0, 0, 40 }),
+		"short tick": variant(func(s *Settings) { s.Tick = 1000; s.DrainGrace = 0 }),
 	}
 }
 
 func TestRulesUnderRandomOutcomes(t *testing.T) {
-	for name, set := range settingsVariants() {
+	for name, settings := range settingsVariants() {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= 3; seed++ {
-				newRuleChecker(t, set, seed).play()
+				newRuleChecker(t, settings, seed).play()
 			}
 		})
 	}
@@ -51,50 +59,50 @@
 		a.play()
 		b.play()
 		if !slices.Equal(a.trace, b.trace) {
-			t.Errorf("%s: the same events gave other actions", name)
+			t.Errorf("%s: the same events gave different actions", name)
 		}
 		if len(a.trace) < 100 {
-			t.Errorf("%s: only %d actions", name, len(a.trace))
+			t.Errorf("%s: got %d actions, want at least 100", name, len(a.trace))
 		}
 	}
 }
 
 func TestNamesDoNotAffectDecisions(t *testing.T) {
-	set := settingsVariants()["tenants"]
-	a := newRuleChecker(t, set, 5)
+	settings := settingsVariants()["tenants"]
+	a := newRuleChecker(t, settings, 5)
 	a.play()
-	for i := range set.Classes {
-		set.Classes[i].Name = fmt.Sprint("zebra-", i)
+	for i := range settings.Classes {
+		settings.Classes[i].Name = fmt.Sprint("zebra-", i)
 	}
-	set.Tenants = []Tenant{{"q", 2}, {"", 1}, {"other", 0}}
-	set.Kinds[0].Name = "renamed"
-	b := newRuleChecker(t, set, 5)
+	settings.Tenants = []Tenant{{"q", 2}, {"", 1}, {"other", 0}}
+	settings.Kinds[0].Name = "renamed"
+	b := newRuleChecker(t, settings, 5)
 	b.play()
 	if !slices.Equal(a.trace, b.trace) {
-		t.Error("renaming changed the actions")
+		t.Error("new names of classes, tenants and kinds changed the actions")
 	}
 }
 
 func TestNewNamesTheInvalidSetting(t *testing.T) {
-	for want, f := range map[string]func(*Settings){
+	for want, change := range map[string]func(*Settings){
 		"Classes": func(s *Settings) { s.Classes = nil }, "Senders": func(s *Settings) { s.Senders = 0 },
 		"Zone": func(s *Settings) { s.Zone = 4 }, "Slots": func(s *Settings) { s.Slots = -1 },
 		"MaxOpen": func(s *Settings) { s.MaxOpen = -1 }, "MaxTries": func(s *Settings) { s.MaxTries = -2 },
 		"ColdFrom": func(s *Settings) { s.ColdFrom = 2 }, "Classes[1]": func(s *Settings) { s.Classes[1].Deadline = 0 },
 		"Kinds[0]": func(s *Settings) { s.Kinds[0].Batch = -1 }, "Tick": func(s *Settings) { s.Tick = -1 },
 	} {
-		set := baseSettings()
-		f(&set)
-		if _, err := New(set, 1); err == nil || err.Error() != "settings: "+want+" makes no sense" {
+		settings := baseSettings()
+		change(&settings)
+		if _, err := New(settings, 1); err == nil || err.Error() != "settings: "+want+" makes no sense" {
 			t.Errorf("%s: got error %v", want, err)
 		}
 	}
 }
 
-// Figures that are missing or make no sense get a safe value and a word, each once; what can be used stays.
+// Settings that are missing or invalid get a safe value and a message, each once. Valid settings stay.
 func TestReplaceInvalidTakesSafeValues(t *testing.T) {
 	nan, huge := math.NaN(), math.MaxFloat64
-	for want, f := range map[string]func(*Settings){
+	for want, change := range map[string]func(*Settings){
 		"Senders of 0 makes no sense, taken for 16":                   func(s *Settings) { s.Senders = 0 },
 		"Senders of -3 makes no sense, taken for 16":                  func(s *Settings) { s.Senders = -3 },
 		"Senders of 1000000000 makes no sense, taken for 10000":       func(s *Settings) { s.Senders = 1e9 },
@@ -120,65 +128,65 @@
 		"MaxRetryAfter of 9223372036854775807 makes no sense, taken for 0":      func(s *Settings) { s.MaxRetryAfter = never },
 		"OverShareWorth of 1.7976931348623157e+308 makes no sense, taken for 1": func(s *Settings) { s.OverShareWorth = huge },
 	} {
-		set := baseSettings()
-		set.ConnCalls = 1
-		f(&set)
-		said := set.ReplaceInvalid()
-		if strings.Join(said, "; ") != strings.TrimSuffix("settings: "+want, "settings: ") {
-			t.Errorf("want %q, said %q", want, said)
+		settings := baseSettings()
+		settings.ConnCalls = 1
+		change(&settings)
+		messages := settings.ReplaceInvalid()
+		if strings.Join(messages, "; ") != strings.TrimSuffix("settings: "+want, "settings: ") {
+			t.Errorf("want message %q, got %q", want, messages)
 		}
-		if again := set.ReplaceInvalid(); len(again) > 0 {
-			t.Errorf("%s: said again %q", want, again)
+		if repeated := settings.ReplaceInvalid(); len(repeated) > 0 {
+			t.Errorf("%s: second call of ReplaceInvalid: got %q, want no message", want, repeated)
 		}
-		if _, err := New(set, 1); err != nil {
-			t.Errorf("%s: %v", want, err)
+		if _, err := New(settings, 1); err != nil {
+			t.Errorf("%s: New: %v", want, err)
 		}
 	}
-	var none Settings
-	none.Classes = baseSettings().Classes
-	none.ReplaceInvalid()
-	if _, err := New(none, 1); err != nil {
-		t.Errorf("nothing but classes: %v", err)
+	var zero Settings
+	zero.Classes = baseSettings().Classes
+	zero.ReplaceInvalid()
+	if _, err := New(zero, 1); err != nil {
+		t.Errorf("settings with classes only: New: %v", err)
 	}
 }
 
-// Limits and reports that make no sense neither open the gates nor close them: the calls go on at a sane pace, and every
-// message ends in time.
+// Guards against invalid limits and load reports that stop all sends or lift all bounds: calls must go on at a
+// reasonable pace, and every message must end in time.
 func TestInvalidLoadReportsAndLimits(t *testing.T) {
-	for _, load := range [][]float64{{math.NaN(), math.NaN()}, {-1, -1}, {1e300, math.Inf(1)}, {0.5, 0}, {math.Inf(-1), 1e300},
-		{0.5}, nil, {1, 1e-300}, {0, 5e-324}} {
+	for _, load := range [][]float64{{math.NaN(), math.NaN()}, {-1, -1}, {1e300, math.Inf(1)}, {0.5, 0},
+		{math.Inf(-1), 1e300}, {0.5}, nil, {1, 1e-300}, {0, 5e-324}} {
 		for _, nominal := range []float64{0, -1, 40, 1e-300, 1e308, math.Inf(1), math.NaN()} {
-			set := baseSettings()
-			set.Senders, set.Weights, set.LimitLeftIndex, set.LimitIndex = 80, WeightsRough, 0, 1
-			r := newHarness(t, set)
-			ev := fullList(1)
-			ev.Entries[0].Nominal = nominal
-			r.step(0, ev)
+			settings := baseSettings()
+			settings.Senders, settings.Weights, settings.LimitLeftIndex, settings.LimitIndex = 80, WeightsRough, 0, 1
+			h := newHarness(t, settings)
+			list := fullList(1)
+			list.Entries[0].Nominal = nominal
+			h.step(0, list)
 			ended, sent := 0, 0
 			for i := range 400 {
 				at := 0.1 * float64(i+1)
 				evs := []Event{TimerExpired{}}
 				if i < 20 {
-					evs = append(evs, r.newMessage(0))
+					evs = append(evs, h.newMessage(0))
 				}
-				acts := r.step(at, evs...)
+				acts := h.step(at, evs...)
 				for len(acts) > 0 {
 					ended += len(actionsOf[Fail](acts)) + len(actionsOf[Refuse](acts))
 					var next []Event
 					for _, c := range actionsOf[CallOut](acts) {
 						sent++
-						x := resultOf(c.ID, 1, 0, Completed)
-						x.Load = load
-						next, ended = append(next, x), ended+1
+						result := resultOf(c.ID, 1, 0, Completed)
+						result.Load = load
+						next, ended = append(next, result), ended+1
 					}
 					if acts = nil; len(next) > 0 {
-						acts = r.step(at, next...)
+						acts = h.step(at, next...)
 					}
 				}
 			}
-			tiny := nominal == 1e-300 || len(load) == 2 && load[1] > 0 && load[1] < 1
-			if ended != 20 || tiny && sent > 12 || !tiny && sent < 3 {
-				t.Errorf("load %v, nominal %v: %d ended, %d sent", load, nominal, ended, sent)
+			tinyLimit := nominal == 1e-300 || len(load) == 2 && load[1] > 0 && load[1] < 1
+			if ended != 20 || tinyLimit && sent > 12 || !tinyLimit && sent < 3 {
+				t.Errorf("load report %v, limit in the list %v: got %d messages ended and %d calls", load, nominal, ended, sent)
 			}
 		}
 	}
--- a/logic/source_limits_test.go
+++ b/logic/source_limits_test.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// TestSourceFileLimits keeps the module as short and narrow as its readers were promised.
+// TestSourceFileLimits bounds the length and width of the program files of package logic, so that they stay readable.
 func TestSourceFileLimits(t *testing.T) {
 	names := []string{"logic.go", "types.go", "state.go", "settings.go", "membership.go", "endpoint_list.go", "queue.go",
 		"routing.go", "gate.go", "ejection.go", "slow_start.go", "rate_limit.go", "restart_time.go", "outcome.go",
@@ -27,7 +27,7 @@
 			}
 		}
 		if filled > 1200 {
-			t.Errorf("%s has %d filled lines, want at most 1200", name, filled)
+			t.Errorf("%s has %d non-blank lines, want at most 1200", name, filled)
 		}
 	}
 	text, _ := os.ReadFile("logic.go")
