--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock tells the time of messages. Their deadlines and windows are spans of real time, so a step of the wall
-// clock must not end or prolong them: within a process the time goes on with the monotonic clock from what the wall clock
-// said at the start, and a process that takes over goes on with the time of the one before it.
+// Package clock provides the time by which messages are processed. Their deadlines and windows are spans of real time,
+// so a step of the wall clock must neither shorten nor prolong them. Within a process, the clock starts at the wall
+// clock's time and then follows the monotonic clock. A process that takes over continues the time of its predecessor.
 package clock
 
 import (
@@ -8,43 +8,43 @@
 	"time"
 )
 
-// maxTransferTime is the longest time that a state transfer takes. What the wall clock says beyond it is a step.
+// maxTransferTime is the longest time that a state transfer takes. A longer difference between the wall clocks is a
+// step.
 const maxTransferTime = 5 * time.Second
 
-// Clock is a time line in Unix microseconds. Make it with New. It may be used at any time from anywhere.
+// Clock is a timeline in Unix microseconds. It is created by New and safe for concurrent use.
 type Clock struct {
-	startedAt  time.Time // with the monotonic clock's reading
-	baseMicros atomic.Int64
+	startedAt  time.Time    // with its monotonic reading
+	baseMicros atomic.Int64 // time on the timeline at startedAt
 }
 
-// New returns a clock that begins with the wall clock's time.
+// New returns a clock that starts at the wall clock's time.
 func New() *Clock {
 	c := &Clock{startedAt: time.Now()}
 	c.baseMicros.Store(c.startedAt.UnixMicro())
 	return c
 }
 
-// NowMicros is the time in Unix microseconds.
+// NowMicros returns the current time in Unix microseconds.
 func (c *Clock) NowMicros() int64 { return c.Micros(time.Now()) }
 
-// Micros is a reading of this process's clock on the time line. The reading must not have been stripped of its monotonic
-// part.
+// Micros converts a time of this process to the timeline. The time must still have its monotonic reading.
 func (c *Clock) Micros(t time.Time) int64 {
 	return c.baseMicros.Load() + t.Sub(c.startedAt).Microseconds()
 }
 
-// Time is a time of the time line as a reading of this process's clock, monotonic part and all: it compares with
-// time.Now whatever the wall clock says meanwhile.
+// Time converts a time on the timeline to a time of this process, with a monotonic reading: it compares correctly with
+// time.Now even if the wall clock is stepped.
 func (c *Clock) Time(micros int64) time.Time {
 	return c.startedAt.Add(time.Duration(micros-c.baseMicros.Load()) * time.Microsecond)
 }
 
-// ContinueFrom goes on with the time line of another process on this machine, which was at then a short while ago.
-func (c *Clock) ContinueFrom(then int64) {
+// ContinueFrom continues the timeline of another process on this machine, which was at otherMicros a short while ago.
+func (c *Clock) ContinueFrom(otherMicros int64) {
 	now := time.Now()
-	passed := time.Duration(now.UnixMicro()-then) * time.Microsecond
-	if passed < 0 || passed > maxTransferTime {
-		passed = 0 // the wall clock has been stepped since that process began
+	elapsed := time.Duration(now.UnixMicro()-otherMicros) * time.Microsecond
+	if elapsed < 0 || elapsed > maxTransferTime {
+		elapsed = 0 // the wall clock has been stepped since that process started
 	}
-	c.baseMicros.Store(then + passed.Microseconds() - now.Sub(c.startedAt).Microseconds())
+	c.baseMicros.Store(otherMicros + elapsed.Microseconds() - now.Sub(c.startedAt).Microseconds())
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// A time of the time line compares with readings of the monotonic clock, and goes there and back unchanged.
+// A time on the timeline compares with monotonic readings, and converts back and forth unchanged.
 func TestClockFollowsMonotonicTimeAndConvertsBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New()
 		begun := c.NowMicros()
 		time.Sleep(3 * time.Second)
 		if got := c.NowMicros() - begun; got != 3_000_000 {
-			t.Errorf("%d us passed in 3 s", got)
+			t.Errorf("the clock advanced by %d us in 3 s", got)
 		}
 		due := c.Time(begun + 5_000_000)
 		if got := time.Until(due); got != 2*time.Second || c.Micros(due) != begun+5_000_000 {
@@ -22,12 +22,12 @@
 	})
 }
 
-// The wall clock has been stepped by an hour since the start, either way: spans stay what they are.
+// The wall clock was stepped by up to an hour since the start, forward or back: intervals keep their length.
 func TestWallClockStepsDoNotChangeIntervals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, step := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second, -3 * time.Second} {
 			c := New()
-			c.baseMicros.Add(step.Microseconds()) // as if it had begun before the step
+			c.baseMicros.Add(step.Microseconds()) // as if the clock had started before the step
 			due := c.NowMicros() + 1_000_000
 			time.Sleep(time.Second)
 			if got := time.Since(c.Time(due)); got != 0 {
@@ -37,26 +37,26 @@
 	})
 }
 
-// A process that takes over goes on with the time of the one before, whose wall clock may have been another.
+// A process that takes over continues the time of its predecessor, also if the wall clock was stepped in between.
 func TestContinueFromAnotherProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, x := range []struct{ step, transfer, passed time.Duration }{
+		for _, test := range []struct{ step, transfer, passed time.Duration }{
 			{0, 40 * time.Millisecond, 40 * time.Millisecond}, {time.Hour, 40 * time.Millisecond, 0},
 			{-time.Hour, 40 * time.Millisecond, 0}, {-10 * time.Millisecond, 40 * time.Millisecond, 50 * time.Millisecond}} {
 			before := New()
-			before.baseMicros.Add(x.step.Microseconds())
+			before.baseMicros.Add(test.step.Microseconds())
 			time.Sleep(time.Second)
-			then := before.NowMicros()
-			time.Sleep(x.transfer)
+			otherMicros := before.NowMicros()
+			time.Sleep(test.transfer)
 			after := New()
 			time.Sleep(time.Millisecond)
-			after.ContinueFrom(then)
-			want := int64(0) // after a step the other process's time is taken as it was
-			if x.passed > 0 {
-				want = (x.passed + time.Millisecond).Microseconds()
+			after.ContinueFrom(otherMicros)
+			want := int64(0) // after a step the other process's time is continued without an elapsed time
+			if test.passed > 0 {
+				want = (test.passed + time.Millisecond).Microseconds()
 			}
-			if got := after.NowMicros() - then; got != want {
-				t.Errorf("%+v: goes on %d us later, want %d", x, got, want)
+			if got := after.NowMicros() - otherMicros; got != want {
+				t.Errorf("%+v: continues %d us later, want %d", test, got, want)
 			}
 		}
 	})
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,4 +1,7 @@
 // Package discovery keeps a replica of the list of endpoints that discovery publishes, and watches it for changes.
+//
+// Client calls discovery over HTTP: for the whole list first and then, as a long poll, for what has changed since the
+// generation that it knows. Directory is the replica, and Store keeps it on disk for the next start.
 package discovery
 
 import (
@@ -17,73 +20,95 @@
 )
 
 const (
-	watchHoldTime     = 4 * time.Second // how long a watch may wait for news; one that is lost shows soon after
-	watchAnswerMargin = time.Second     // and how much later its answer may come; changes count as told 2 s later
-	listTimeout       = 2 * time.Second // for the whole list, which comes at once where it comes at all
-	// Calls of a fleet add up: where discovery takes one after the other, it rejects what waits for 2 s, and what it
-	// rejected costs it time too. Many senders go on watching while it answers soon, and pause once it is overbooked.
-	SpreadMinSenders    = 8                       // senders from which on that is so
-	spreadWatchHoldTime = 13 * time.Second        // how long a watch may wait for news then: with the slack and a pause it is in force within 17 s
-	busyAnswerTime      = 1300 * time.Millisecond // an answer with news that took longer is followed by a pause
-	pausePerSender      = 145 * time.Millisecond  // the mean of that, for each sender ...
-	maxBusyPause        = 4400 * time.Millisecond // ... and the longest mean: with 2 s for the next answer it stays under ListAge
-	maxFirstPause       = 5250 * time.Millisecond // before the first call: a fleet that starts meets discovery all at once ...
-	serviceTimePerCall  = 50 * time.Millisecond   // ... where that can help: discovery needs so long for a call without news
-	promptAnswerTime    = 25 * time.Millisecond   // an answer that need not wait for news comes sooner, unless discovery is busy
-	promptHoldTime      = time.Millisecond        // hold of the call that asks for such an answer
-	acceptanceDelay     = 2200 * time.Millisecond // a call that is out for longer was not rejected: it waits for news
-	MaxListAge          = 5800 * time.Millisecond // of an answer, when what changed since counts as told; a bit less than 6 s
-	minEmptyAnswerTime  = 100 * time.Millisecond  // an answer with nothing new that comes sooner than this did not wait: a backoff follows
-	maxBadAnswers       = 5                       // answers that can't be taken, one after the other, until the call counts as failed
-	initialBackoff      = 100 * time.Millisecond  // mean backoff after an answer that can't be taken, doubled with each ...
-	maxBackoff          = 2800 * time.Millisecond // ... up to this: with a quarter more and the next call it stays under 6 s
-	MinAnswerLimitBytes = 4 << 20                 // bytes of an answer that are always taken
-	minRowBytes         = 96                      // of an answer: it has no more rows than bytes / rowBytes
-	readBufferBytes     = 64 << 10                // bytes of an answer that are read at once
-	stallTimeout        = 2 * time.Second         // between bytes of an answer that has begun; that long it may take in any case ...
-	minBytesPerSecond   = 128 << 10               // ... and a second for so many bytes beyond that
-	warningInterval     = time.Second             // between two warnings of failed calls
-	typicalRowBytes     = 200                     // bytes of a row, to guess an answer's size
-	minTimedBytes       = 64 << 10                // bytes of an answer that buy it time, however short the known list is
-	maxTrailingBytes    = 4 << 10                 // bytes behind a list that are read, to keep the connection ...
-	trailingTimeout     = 100 * time.Millisecond  // ... and for how long
+	// How long discovery may hold a watch while nothing changes; a watch that gets no answer is noticed soon after.
+	watchHoldTime = 4 * time.Second
+	// How much later the answer to a watch may begin. Where it does not come, changes count as known 2 s after the
+	// hold.
+	watchAnswerMargin = time.Second
+	listTimeout       = 2 * time.Second // until the whole list begins to arrive; discovery sends it at once if at all
+
+	// Calls of a fleet add up. A discovery that serves one call after the other rejects calls that have waited for 2 s,
+	// and rejected calls cost it time too. Many senders keep watching without pauses while discovery answers soon, and
+	// pause between watches once it is overloaded.
+
+	// SpreadMinSenders is the number of senders from which on their calls are spread.
+	SpreadMinSenders = 8
+	// Hold time of a watch then: with the answer margin and a pause, a change is in force within 17 s.
+	spreadWatchHoldTime = 13 * time.Second
+	busyAnswerTime      = 1300 * time.Millisecond // an answer with changes that took longer is followed by a pause
+	pausePerSender      = 145 * time.Millisecond  // mean of that pause, for each sender
+	// Longest mean pause: with its random part and 2 s for the next answer it stays within MaxListAge and a drain grace
+	// of 1 s.
+	maxBusyPause = 4400 * time.Millisecond
+	// Longest pause before the first call: the senders of a fleet that starts would otherwise all call at the same
+	// time.
+	maxFirstPause = 5250 * time.Millisecond
+	// Time that discovery needs for a call without changes. A pause of maxFirstPause spreads the calls of a fleet
+	// widely enough only if they take no longer than that in total.
+	serviceTimePerCall = 50 * time.Millisecond
+	// An answer that need not wait for a change comes sooner than this, unless discovery is busy.
+	promptAnswerTime = 25 * time.Millisecond
+	promptHoldTime   = time.Millisecond // hold time of the call that asks for such an answer
+
+	// A call that has had no answer for longer than this was not rejected: it waits for a change.
+	acceptanceDelay = 2200 * time.Millisecond
+	// MaxListAge is the age of the last answer from which on changes since then count as known: slightly less than 6 s.
+	MaxListAge         = 5800 * time.Millisecond
+	minEmptyAnswerTime = 100 * time.Millisecond // an empty answer that comes sooner did not wait: a backoff follows
+	maxBadAnswers      = 5                      // unusable answers in a row after which the watch counts as failed
+	initialBackoff     = 100 * time.Millisecond // mean backoff after an unusable answer, doubled after each further one
+	// Longest mean backoff: with a quarter more, and the next call, it stays under 6 s.
+	maxBackoff = 2800 * time.Millisecond
+
+	// MinAnswerLimitBytes is the size up to which an answer is always accepted.
+	MinAnswerLimitBytes = 4 << 20
+	minRowBytes         = 96       // an answer has at most one row for each so many bytes of its size limit
+	readBufferBytes     = 64 << 10 // of an answer
+	// Longest time between the bytes of an answer that has begun; an answer as a whole may take that long in any case.
+	stallTimeout      = 2 * time.Second
+	minBytesPerSecond = 128 << 10              // an answer may take a second more for each so many bytes
+	warningInterval   = time.Second            // between two warnings of failed calls
+	typicalRowBytes   = 200                    // size of a row, to estimate the size of an answer
+	minTimedBytes     = 64 << 10               // bytes of an answer that extend its time, however short the known list is
+	maxTrailingBytes  = 4 << 10                // bytes after a list that are read, to reuse the connection
+	trailingTimeout   = 100 * time.Millisecond // for reading them
 )
 
 var (
-	errUnavailable     = errors.New("discovery answered 503") // it has no time for a call
+	errUnavailable     = errors.New("discovery answered 503") // it is too busy for a call
 	errUnresponsive    = errors.New("discovery does not answer")
 	errListTooLarge    = errors.New("the list is too large")
-	errUnreadable      = errors.New("the answer is no list")                        // cut short, say
-	errOlderGeneration = errors.New("the list is older than the one that is known") // a late answer, say
+	errUnreadable      = errors.New("the answer is not a list")             // for example, truncated
+	errOlderGeneration = errors.New("the list is older than the known one") // for example, a late answer
 )
 
-// Event is news of the list, or of a call for it that failed.
+// Event is a change of the list, the state of a call for it, or a call that failed.
 type Event struct {
 	Update         Update
 	HasUpdate      bool   // Update is an answer
-	WatchAccepted  bool   // no news yet: it is told from now on as soon as there is any
-	AnswerBegun    bool   // pushed lists: an answer has begun to come and takes its time, so what is known may be old
-	UnusableAnswer bool   // an answer came that can't be used: it may have held news, which is asked for again
+	WatchAccepted  bool   // discovery has accepted the watch and nothing has changed so far
+	AnswerBegun    bool   // pushed lists: an answer has begun and is slow to arrive, so the known list may be out of date
+	UnusableAnswer bool   // an unusable answer arrived: it may have held changes, which are requested again
 	Err            error  // of a call that failed; the watch has ended
-	Unresponsive   bool   // Err: nobody answered
-	Done           func() // the loop calls it once the update is applied; nil if there is none
+	Unresponsive   bool   // with Err: discovery did not answer at all
+	Done           func() // called by the receiver once the update is applied; nil if there is none
 }
 
-// Config is what a client needs to know.
+// Config configures a Client.
 type Config struct {
 	Addr           string        // of discovery, host:port
-	Senders        int           // that share discovery
-	Pushed         bool          // an agent on this machine has the list; else it comes only to who asks
-	DrainGrace     time.Duration // for which what begins to drain may still be called
+	Senders        int           // number of senders that share discovery
+	Pushed         bool          // an agent on this machine gets the list pushed; otherwise it is sent only on request
+	DrainGrace     time.Duration // how long a draining endpoint may still be called
 	Seed           uint64
-	MaxAnswerBytes int64 // of an answer; LeastBytes at least
+	MaxAnswerBytes int64 // size limit of an answer; at least MinAnswerLimitBytes applies
 	Directory      *Directory
 	Store          *Store // keeps the list for the next start; nil for none
 	Log            *slog.Logger
 	Dial           func(ctx context.Context, network, addr string) (net.Conn, error) // nil for TCP
 }
 
-// Client asks for the list. Only one Watch runs at a time.
+// Client requests the list and watches it. Only one Watch may run at a time.
 type Client struct {
 	httpClient     *http.Client
 	directory      *Directory
@@ -92,30 +117,33 @@
 	events         chan<- any
 	timing         timing
 	pushed         bool
-	maxAnswerBytes int64         // bytes of an answer
-	rng            *rand.Rand    // sets our calls apart from those of other senders; used by one watch at a time, as are ...
-	generation     int64         // ... the version of the list that the loop has ...
-	restarted      bool          // ... whether this is a restart ...
-	firstCallMade  bool          // ... whether the first call has been made ...
-	meanBackoff    time.Duration // ... the mean pause after an answer that can't be taken, 0 after a good one ...
-	// ... since when all answers are older than what is known; zero if the last one was not ...
-	olderSince     time.Time
-	lastWarningAt  time.Time     // when a failed call was last logged as a warning
-	unsavedUpdate  *Update       // ... the update that is yet to be saved ...
-	unsavedOrigin  string        // ... the address that it came from ...
-	noRoomRows     int           // ... how long a list had no room on disk, 0 if none did ...
-	saveFailed     bool          // ... whether the last update could not be saved ...
-	discoveryBusy  bool          // ... whether discovery is too busy for many senders that ask at once ...
-	hasList        bool          // ... and whether there is such a list
-	applied        chan struct{} // closed once the loop has applied the last update; nil before the first
-	wake           chan struct{} // ends a pause: discovery has moved
-	mu             sync.Mutex
+	maxAnswerBytes int64 // size limit of an answer
+
+	// The fields up to applied belong to the running Watch.
+
+	rng           *rand.Rand    // spreads the calls of this sender apart from those of other senders
+	generation    int64         // generation of the list that the receiver of the events has
+	restarted     bool          // this is a restart, not a first start
+	firstCallMade bool          // the first call has been made
+	meanBackoff   time.Duration // mean pause after the last unusable answer; 0 after a usable one
+	olderSince    time.Time     // since when all answers are older than the known list; zero if the last one was not
+	lastWarningAt time.Time     // when a failed call was last logged as a warning
+	unsavedUpdate *Update       // the update that is yet to be saved
+	unsavedOrigin string        // the address that it came from
+	noRoomRows    int           // number of rows of a list that did not fit on disk; 0 if there was none
+	saveFailed    bool          // the last update could not be saved
+	discoveryBusy bool          // discovery is too busy for many senders that call without pauses
+	hasList       bool          // there is a list at generation
+	applied       chan struct{} // closed once the receiver has applied the last update; nil before the first
+
+	wake           chan struct{} // ends a pause: the address of discovery has changed
+	mu             sync.Mutex    // guards the fields below
 	baseURL        string
 	addressChanged bool               // since the last call began
-	cancelCall     context.CancelFunc // ends the call under way
+	cancelCall     context.CancelFunc // ends the call in progress
 }
 
-// NewClient returns a client that sends an Event for whatever it learns.
+// NewClient returns a client that reports on events what it learns, each as an Event.
 func NewClient(cfg Config, events chan<- any) *Client {
 	times := requestedTiming(cfg.Senders, cfg.DrainGrace)
 	if cfg.Pushed {
@@ -125,171 +153,190 @@
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: 2 * time.Second}).DialContext
 	}
-	return &Client{baseURL: "http://" + cfg.Addr, timing: times, pushed: cfg.Pushed, maxAnswerBytes: max(cfg.MaxAnswerBytes, MinAnswerLimitBytes),
-		rng: rand.New(rand.NewPCG(cfg.Seed, 1)), directory: cfg.Directory, store: cfg.Store, log: cfg.Log, events: events, wake: make(chan struct{}, 1),
+	return &Client{baseURL: "http://" + cfg.Addr, timing: times, pushed: cfg.Pushed,
+		maxAnswerBytes: max(cfg.MaxAnswerBytes, MinAnswerLimitBytes),
+		rng:            rand.New(rand.NewPCG(cfg.Seed, 1)), directory: cfg.Directory, store: cfg.Store, log: cfg.Log,
+		events: events, wake: make(chan struct{}, 1),
 		httpClient: &http.Client{Transport: &http.Transport{
 			DialContext: dial, MaxIdleConnsPerHost: 1, MaxConnsPerHost: 4, IdleConnTimeout: 30 * time.Second}}}
 }
 
-// SetInitialState says what is known at the start, before the first Watch: the generation of the list in the directory, below 0
-// if there is none, and whether this is a restart.
-func (d *Client) SetInitialState(generation int64, restart bool) {
-	d.restarted = restart
-	if d.hasList = generation >= 0; d.hasList {
-		d.generation = generation
+// SetInitialState sets what is known at the start, before the first Watch: the generation of the list in the directory,
+// below 0 if there is none, and whether this is a restart.
+func (c *Client) SetInitialState(generation int64, restart bool) {
+	c.restarted = restart
+	if c.hasList = generation >= 0; c.hasList {
+		c.generation = generation
 	}
 }
 
-// Watch reports changes until a call fails. Each call follows the last answer at once, so that nothing is missed in
-// between, unless discovery is overbooked. Among many senders the first does not wait for news, which shows whether
-// discovery has time; how long a watch takes tells of the news alone. A restarted sender makes it at once: what it
-// would be told counts as told. At a first start the list is new, and a fleet's calls spread. Where lists are pushed,
-// the first call of each watch does not wait: it shows at once what the agent has, or that it is silent.
-func (d *Client) Watch(ctx context.Context) {
-	if d.timing.firstPause > 0 && !d.firstCallMade && !d.restarted {
-		d.wait(ctx, time.Duration(d.rng.Int64N(int64(d.timing.firstPause))))
-	}
-	bad, asked := 0, false // answers in a row that made no sense; whether this watch has made a call
+// Watch reports changes of the list until a call fails. A call names the generation that is known (from) and how long
+// discovery may hold the answer back while there is no newer one (hold_ms): a long poll. Without a known list it asks
+// for the whole list.
+//
+// Each call follows the last answer at once, so that no change is missed in between, unless discovery is overloaded:
+// then many senders pause first. Whether it is overloaded shows in the first call, which many senders make with a
+// minimal hold time; the duration of a watch shows only when something changed. A restarted sender makes the first call
+// at once, as changes that the answer would hold count as known. At a first start the list is new, and the calls of a
+// fleet are spread by a random pause.
+//
+// Where lists are pushed, the first call of each watch has a minimal hold time too: it shows at once which list the
+// agent has, or that it does not answer.
+//
+// An answer with a lower generation than the known one is rejected: it may be a late answer. If such answers go on, for
+// maxBadAnswers in a row and for renumberingDelay, discovery has restarted its generations, and the next call asks for
+// the whole list. So does the first call to another address, whose generations need not be the same.
+func (c *Client) Watch(ctx context.Context) {
+	if c.timing.firstPause > 0 && !c.firstCallMade && !c.restarted {
+		c.wait(ctx, time.Duration(c.rng.Int64N(int64(c.timing.firstPause))))
+	}
+	badAnswers, hasCalled := 0, false // unusable answers in a row; whether this watch has made a call
 	for ctx.Err() == nil {
-		first := d.timing.busyPause > 0 && !d.firstCallMade || d.pushed && !asked
-		d.firstCallMade, asked = true, true
-		call, base, moved := d.beginCall(ctx)
-		if moved { // its list begins anew: the versions of another address may be others
-			d.hasList = false
+		first := c.timing.busyPause > 0 && !c.firstCallMade || c.pushed && !hasCalled
+		c.firstCallMade, hasCalled = true, true
+		call, base, moved := c.beginCall(ctx)
+		if moved { // the generations of another address may count another list
+			c.hasList = false
 		}
 		url, limit := base+"/discovery/hosts", listTimeout
-		direct := !d.hasList || first || bad > 0 // the answer need not wait for news
+		direct := !c.hasList || first || badAnswers > 0 // the answer need not wait for a change
 		switch {
-		case d.hasList && direct:
-			url = fmt.Sprintf("%s?from=%d&hold_ms=%d", url, d.generation, promptHoldTime.Milliseconds())
-			limit = d.timing.answerTimeout
-		case d.hasList:
-			url = fmt.Sprintf("%s?from=%d&hold_ms=%d", url, d.generation, d.timing.holdTime.Milliseconds())
-			limit = d.timing.holdTime + d.timing.answerMargin
+		case c.hasList && direct:
+			url = fmt.Sprintf("%s?from=%d&hold_ms=%d", url, c.generation, promptHoldTime.Milliseconds())
+			limit = c.timing.answerTimeout
+		case c.hasList:
+			url = fmt.Sprintf("%s?from=%d&hold_ms=%d", url, c.generation, c.timing.holdTime.Milliseconds())
+			limit = c.timing.holdTime + c.timing.answerMargin
 		}
-		at := time.Now()
-		d.log.Debug("list call", "url", url, "limit", limit.String())
-		list, err := d.awaitAnswer(call, url, limit, !direct)
-		d.logAnswer(list, err, time.Since(at))
-		if moved := d.endCall(); ctx.Err() != nil {
+		calledAt := time.Now()
+		c.log.Debug("list call", "url", url, "limit", limit.String())
+		list, err := c.awaitAnswer(call, url, limit, !direct)
+		c.logAnswer(list, err, time.Since(calledAt))
+		if moved := c.endCall(); ctx.Err() != nil {
 			return
 		} else if moved {
-			bad, d.meanBackoff = 0, 0
-			continue // what the old address said last, the new one says too
+			badAnswers, c.meanBackoff = 0, 0
+			continue // the answer of the old address is dropped: the new address has the same changes
 		}
 		if err == nil {
-			err = d.checkAnswer(list)
+			err = c.checkAnswer(list)
 		}
 		if !errors.Is(err, errOlderGeneration) {
-			d.olderSince = time.Time{}
-		} else if d.olderSince.IsZero() {
-			d.olderSince = time.Now()
+			c.olderSince = time.Time{}
+		} else if c.olderSince.IsZero() {
+			c.olderSince = time.Now()
 		}
 		unusable := errors.Is(err, errUnreadable) || errors.Is(err, errOlderGeneration) || errors.Is(err, errListTooLarge)
 		if unusable {
-			d.emit(ctx, Event{UnusableAnswer: true})
+			c.emit(ctx, Event{UnusableAnswer: true})
 		}
-		if bad++; bad < maxBadAnswers && unusable {
-			pause := d.nextBackoff()
-			d.log.Log(ctx, d.failureLogLevel(), "discovery, the list stays as it is", "err", err, "known", d.generation, "again in", pause.String())
-			d.wait(ctx, pause) // not for long: what it has to tell counts as told
+		if badAnswers++; badAnswers < maxBadAnswers && unusable {
+			pause := c.nextBackoff()
+			c.log.Log(ctx, c.failureLogLevel(), "discovery sent an unusable answer; keeping the known list",
+				"err", err, "known", c.generation, "again in", pause.String())
+			c.wait(ctx, pause) // not for long: changes in the unusable answer count as known
 			continue
 		}
-		if errors.Is(err, errOlderGeneration) && time.Since(d.olderSince) >= d.timing.renumberingDelay {
-			d.hasList = false // not a late answer: its count has begun anew
+		if errors.Is(err, errOlderGeneration) && time.Since(c.olderSince) >= c.timing.renumberingDelay {
+			c.hasList = false // not late answers: discovery has restarted its generations
 		}
 		if err != nil {
-			d.log.Log(ctx, d.failureLogLevel(), "discovery", "err", err)
-			d.discoveryBusy = d.discoveryBusy || errors.Is(err, errUnavailable)
-			d.emit(ctx, Event{Err: err, Unresponsive: isUnresponsive(err)})
+			c.log.Log(ctx, c.failureLogLevel(), "discovery", "err", err)
+			c.discoveryBusy = c.discoveryBusy || errors.Is(err, errUnavailable)
+			c.emit(ctx, Event{Err: err, Unresponsive: isUnresponsive(err)})
 			return
 		}
-		pause, took := time.Duration(0), time.Since(at)
-		idle := len(list.Rows) == 0 && took < minEmptyAnswerTime && !direct // answered at once, with nothing new
-		if bad = 0; !idle {
-			d.meanBackoff = 0
+		pause, took := time.Duration(0), time.Since(calledAt)
+		emptyAtOnce := len(list.Rows) == 0 && took < minEmptyAnswerTime && !direct // answered at once, without changes
+		if badAnswers = 0; !emptyAtOnce {
+			c.meanBackoff = 0
 		}
 		if direct || list.rowCount > 0 && took < promptAnswerTime {
-			d.discoveryBusy = took >= promptAnswerTime
+			c.discoveryBusy = took >= promptAnswerTime
 		}
-		if len(list.Rows) > 0 || list.Generation != d.generation || !d.hasList {
-			d.unsavedUpdate, d.unsavedOrigin = &list.Update, strings.TrimPrefix(base, "http://")
+		if len(list.Rows) > 0 || list.Generation != c.generation || !c.hasList {
+			c.unsavedUpdate, c.unsavedOrigin = &list.Update, strings.TrimPrefix(base, "http://")
 		}
-		d.generation, d.hasList = list.Generation, true
+		c.generation, c.hasList = list.Generation, true
 		applied := make(chan struct{})
-		d.applied = applied
-		d.emit(ctx, Event{Update: list.Update, HasUpdate: true, Done: sync.OnceFunc(func() { close(applied) })})
+		c.applied = applied
+		c.emit(ctx, Event{Update: list.Update, HasUpdate: true, Done: sync.OnceFunc(func() { close(applied) })})
 		switch {
-		case idle:
-			pause = d.nextBackoff()
-		case d.discoveryBusy && d.timing.busyPause > 0 && (list.rowCount > 0 && took > busyAnswerTime || list.rowCount == 0 && first):
-			pause = d.timing.busyPause*92/100 + time.Duration(d.rng.Int64N(int64(d.timing.busyPause)*16/100))
+		case emptyAtOnce:
+			pause = c.nextBackoff()
+		case c.discoveryBusy && c.timing.busyPause > 0 &&
+			(list.rowCount > 0 && took > busyAnswerTime || list.rowCount == 0 && first):
+			pause = c.timing.busyPause*92/100 + time.Duration(c.rng.Int64N(int64(c.timing.busyPause)*16/100))
 		}
-		d.wait(ctx, pause)
+		c.wait(ctx, pause)
 	}
 }
 
-// logAnswer writes how a call for the list ended, for who follows it call by call.
-func (d *Client) logAnswer(list *answer, err error, took time.Duration) {
+// logAnswer logs how a call for the list ended, at debug level.
+func (c *Client) logAnswer(list *answer, err error, took time.Duration) {
 	if err != nil {
-		d.log.Debug("list call ended", "took", took.String(), "err", err)
+		c.log.Debug("list call ended", "took", took.String(), "err", err)
 		return
 	}
-	d.log.Debug("list call ended", "took", took.String(), "generation", list.Generation, "whole", list.Whole, "rows", list.rowCount)
+	c.log.Debug("list call ended", "took", took.String(), "generation", list.Generation, "whole", list.Whole,
+		"rows", list.rowCount)
 }
 
-// failureLogLevel is the level at which a call that failed is logged: where calls follow each other closely, not each as a
-// warning.
-func (d *Client) failureLogLevel() slog.Level {
+// failureLogLevel returns the level at which a call that failed is logged. Where lists are pushed, calls follow each
+// other closely, and only one failure per warningInterval is a warning.
+func (c *Client) failureLogLevel() slog.Level {
 	now := time.Now()
-	if d.pushed && now.Sub(d.lastWarningAt) < warningInterval {
+	if c.pushed && now.Sub(c.lastWarningAt) < warningInterval {
 		return slog.LevelDebug
 	}
-	d.lastWarningAt = now
+	c.lastWarningAt = now
 	return slog.LevelWarn
 }
 
-// checkAnswer says what is wrong with a list, if anything is: changes where there is nothing to change yet, a whole list with
-// no word of instances, or a list that is older than what is known.
-func (d *Client) checkAnswer(list *answer) error {
+// checkAnswer returns an error if a list can't be used: changes where there is no list yet, a whole list without
+// instances, or a list that is older than the known one.
+func (c *Client) checkAnswer(list *answer) error {
 	switch {
-	case !d.hasList && !list.Whole, list.Whole && !list.hasInstances:
+	case !c.hasList && !list.Whole, list.Whole && !list.hasInstances:
 		return errUnreadable
-	case d.hasList && list.Generation < d.generation:
+	case c.hasList && list.Generation < c.generation:
 		return fmt.Errorf("%w: generation %d", errOlderGeneration, list.Generation)
 	}
 	return nil
 }
 
-// isUnresponsive says whether a call failed because nobody answered: no connection came up, or nothing came over it.
+// isUnresponsive reports whether a call failed because there was no answer: the connection was not established, or no
+// data came over it.
 func isUnresponsive(err error) bool {
-	var op *net.OpError
-	return errors.Is(err, errUnresponsive) && !errors.Is(err, errUnreadable) || errors.As(err, &op) && op.Op == "dial"
+	var opErr *net.OpError
+	return errors.Is(err, errUnresponsive) && !errors.Is(err, errUnreadable) ||
+		errors.As(err, &opErr) && opErr.Op == "dial"
 }
 
-// awaitAnswer makes a call, and tells the loop once it waits for news, if it may.
-func (d *Client) awaitAnswer(ctx context.Context, url string, limit time.Duration, watch bool) (*answer, error) {
+// awaitAnswer makes a call and returns its answer. If the call is a watch, it reports when discovery has accepted it;
+// where lists are pushed, it also reports when an answer has begun and is slow to arrive.
+func (c *Client) awaitAnswer(ctx context.Context, url string, limit time.Duration, watch bool) (*answer, error) {
 	type result struct {
 		list *answer
 		err  error
 	}
 	answers, begun := make(chan result, 1), make(chan struct{})
 	go func() {
-		list, err := d.fetchList(ctx, url, limit, begun)
+		list, err := c.fetchList(ctx, url, limit, begun)
 		answers <- result{list, err}
 	}()
-	if d.awaitApplied(ctx) == nil {
-		d.saveUpdate() // the answer is not compared with what changes meanwhile: the next update is told after this
+	if c.awaitApplied(ctx) == nil {
+		c.saveUpdate() // nothing changes the directory meanwhile: the next update is only reported after this
 	}
-	out := time.NewTimer(d.timing.acceptanceDelay)
-	defer out.Stop()
+	acceptanceTimer := time.NewTimer(c.timing.acceptanceDelay)
+	defer acceptanceTimer.Stop()
 	select {
 	case a := <-answers:
 		return a.list, a.err
-	case <-begun: // it may be long: that is no wait for news
-	case <-out.C:
+	case <-begun: // a long answer is not a watch that waits for a change
+	case <-acceptanceTimer.C:
 		if watch {
-			d.emit(ctx, Event{WatchAccepted: true})
+			c.emit(ctx, Event{WatchAccepted: true})
 		}
 		select {
 		case a := <-answers:
@@ -297,146 +344,150 @@
 		case <-begun:
 		}
 	}
-	if d.pushed { // news is on its way, and may not arrive
-		out.Reset(d.timing.acceptanceDelay)
+	if c.pushed { // changes are being transferred, and the transfer may fail
+		acceptanceTimer.Reset(c.timing.acceptanceDelay)
 		select {
 		case a := <-answers:
 			return a.list, a.err
-		case <-out.C:
-			d.emit(ctx, Event{AnswerBegun: true})
+		case <-acceptanceTimer.C:
+			c.emit(ctx, Event{AnswerBegun: true})
 		}
 	}
 	a := <-answers
 	return a.list, a.err
 }
 
-// saveUpdate keeps the last update on disk once it is applied, as a change or with the whole list.
-func (d *Client) saveUpdate() {
-	u := d.unsavedUpdate
-	if d.unsavedUpdate = nil; u == nil || d.store == nil || !d.directory.AllStatesKnown() || d.noRoomRows > 0 && d.directory.Len()*10 > d.noRoomRows*9 {
+// saveUpdate saves the last update on disk once it is applied: the update alone, or the whole list. After a list that
+// found no room it waits until the list is a tenth shorter.
+func (c *Client) saveUpdate() {
+	u := c.unsavedUpdate
+	if c.unsavedUpdate = nil; u == nil || c.store == nil || !c.directory.AllStatesKnown() ||
+		c.noRoomRows > 0 && c.directory.Len()*10 > c.noRoomRows*9 {
 		return
 	}
-	saved, err := d.store.Peek()
-	whole := err != nil || saved.Origin != d.unsavedOrigin || d.store.NeedsReplace()
+	saved, err := c.store.Peek()
+	whole := err != nil || saved.Origin != c.unsavedOrigin || c.store.NeedsReplace()
 	if !whole {
-		err = d.store.Append(u.Generation, u.Rows)
-		whole = err != nil && d.store.NeedsReplace()
+		err = c.store.Append(u.Generation, u.Rows)
+		whole = err != nil && c.store.NeedsReplace()
 	}
 	if whole {
-		d.noRoomRows = 0
-		if err = d.store.Replace(d.unsavedOrigin, u.Generation, d.directory.Listed()); errors.Is(err, errNoRoom) {
-			d.noRoomRows = d.directory.Len()
+		c.noRoomRows = 0
+		if err = c.store.Replace(c.unsavedOrigin, u.Generation, c.directory.Listed()); errors.Is(err, errNoRoom) {
+			c.noRoomRows = c.directory.Len()
 		}
 	}
-	if err != nil && !d.saveFailed {
-		d.log.Warn("the list is not kept for the next start", "entries", d.directory.Len(), "err", err)
+	if err != nil && !c.saveFailed {
+		c.log.Warn("the list is not kept for the next start", "entries", c.directory.Len(), "err", err)
 	}
-	d.saveFailed = err != nil
+	c.saveFailed = err != nil
 }
 
 // emit sends an event, unless ctx ends first.
-func (d *Client) emit(ctx context.Context, ev Event) {
+func (c *Client) emit(ctx context.Context, ev Event) {
 	select {
-	case d.events <- ev:
+	case c.events <- ev:
 	case <-ctx.Done():
 	}
 }
 
-// awaitApplied waits until the loop has applied the last update: what is compared before would be told as it was before.
-func (d *Client) awaitApplied(ctx context.Context) error {
-	if d.applied == nil {
+// awaitApplied waits until the receiver has applied the last update. An answer that is compared with the directory
+// before that would be compared with an old list.
+func (c *Client) awaitApplied(ctx context.Context) error {
+	if c.applied == nil {
 		return nil
 	}
 	select {
-	case <-d.applied:
+	case <-c.applied:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// nextBackoff is the pause after an answer that can't be taken. It grows until a good one comes, also from one watch to the
-// next.
-func (d *Client) nextBackoff() time.Duration {
-	d.meanBackoff = min(max(2*d.meanBackoff, d.timing.initialBackoff), d.timing.maxBackoff)
-	return d.meanBackoff*3/4 + time.Duration(d.rng.Int64N(int64(d.meanBackoff)/2))
+// nextBackoff returns the pause after an unusable answer. It grows until a usable one comes, also across watches.
+func (c *Client) nextBackoff() time.Duration {
+	c.meanBackoff = min(max(2*c.meanBackoff, c.timing.initialBackoff), c.timing.maxBackoff)
+	return c.meanBackoff*3/4 + time.Duration(c.rng.Int64N(int64(c.meanBackoff)/2))
 }
 
-// wait pauses, unless ctx or a move of discovery ends it.
-func (d *Client) wait(ctx context.Context, pause time.Duration) {
+// wait pauses. The end of ctx or a change of discovery's address ends the pause.
+func (c *Client) wait(ctx context.Context, pause time.Duration) {
 	if pause > 0 {
-		d.log.Debug("pause before the next list call", "for", pause.String())
+		c.log.Debug("pause before the next list call", "for", pause.String())
 	}
 	select {
 	case <-ctx.Done():
-	case <-d.wake:
+	case <-c.wake:
 	case <-time.After(pause):
 	}
 }
 
-// beginCall says where the next call goes, and whether that is another address than before.
-func (d *Client) beginCall(ctx context.Context) (call context.Context, base string, moved bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	moved, d.addressChanged = d.addressChanged, false
+// beginCall returns the context and the base URL of the next call, and whether the address has changed since the last
+// one.
+func (c *Client) beginCall(ctx context.Context) (call context.Context, base string, moved bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	moved, c.addressChanged = c.addressChanged, false
 	select {
-	case <-d.wake: // this call goes to the new address
+	case <-c.wake: // this call goes to the new address
 	default:
 	}
-	call, d.cancelCall = context.WithCancel(ctx)
-	return call, d.baseURL, moved
+	call, c.cancelCall = context.WithCancel(ctx)
+	return call, c.baseURL, moved
 }
 
-// endCall lets go of a call and says whether discovery has moved since it began.
-func (d *Client) endCall() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.cancelCall()
-	d.cancelCall = nil
-	return d.addressChanged
+// endCall releases the context of a call and reports whether discovery's address has changed since it began.
+func (c *Client) endCall() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cancelCall()
+	c.cancelCall = nil
+	return c.addressChanged
 }
 
-// AddressChanged says whether discovery has moved since the last call began.
-func (d *Client) AddressChanged() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.addressChanged
+// AddressChanged reports whether discovery's address has changed since the last call began.
+func (c *Client) AddressChanged() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.addressChanged
 }
 
-// BaseURL is where calls go now.
-func (d *Client) BaseURL() string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.baseURL
+// BaseURL returns the URL that calls currently go to.
+func (c *Client) BaseURL() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.baseURL
 }
 
-// SetAddress takes another address from now on. A call under way to the old one is called off.
-func (d *Client) SetAddress(addr string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.baseURL, d.addressChanged = "http://"+addr, true
-	if d.cancelCall != nil {
-		d.cancelCall()
+// SetAddress changes the address of discovery. A call to the old one that is in progress is canceled.
+func (c *Client) SetAddress(addr string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.baseURL, c.addressChanged = "http://"+addr, true
+	if c.cancelCall != nil {
+		c.cancelCall()
 	}
 	select {
-	case d.wake <- struct{}{}:
-	default: // one that is not taken yet stands for this one too
+	case c.wake <- struct{}{}:
+	default: // a wake-up that is still pending covers this change too
 	}
 }
 
-// fetchList makes a call. Its answer has to begin within limit; from then on it has to come on. begun is closed as soon as
-// there is one.
-func (d *Client) fetchList(ctx context.Context, url string, limit time.Duration, begun chan<- struct{}) (*answer, error) {
+// fetchList makes a call and reads its answer. The answer has to begin within limit; from then on data has to keep
+// coming. begun is closed when the first byte of the body arrives.
+func (c *Client) fetchList(ctx context.Context, url string, limit time.Duration,
+	begun chan<- struct{}) (*answer, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	end := time.Now().Add(limit)
-	over := time.AfterFunc(limit, func() { cancel(errUnresponsive) })
-	defer over.Stop()
+	deadline := time.Now().Add(limit)
+	timeoutTimer := time.AfterFunc(limit, func() { cancel(errUnresponsive) })
+	defer timeoutTimer.Stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := d.httpClient.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause
@@ -445,54 +496,57 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		d.discardTrailing(resp.Body, over)
+		c.discardTrailing(resp.Body, timeoutTimer)
 		if resp.StatusCode == http.StatusServiceUnavailable {
 			return nil, errUnavailable
 		}
 		return nil, fmt.Errorf("discovery answered %s", resp.Status)
 	}
-	if resp.ContentLength > d.maxAnswerBytes {
-		return nil, fmt.Errorf("%w: %d bytes, the limit is %d", errListTooLarge, resp.ContentLength, d.maxAnswerBytes)
+	if resp.ContentLength > c.maxAnswerBytes {
+		return nil, fmt.Errorf("%w: %d bytes, the limit is %d", errListTooLarge, resp.ContentLength, c.maxAnswerBytes)
 	}
-	left := time.Until(end)
-	over.Stop() // what follows is no fault of discovery's
-	if err := d.awaitApplied(ctx); err != nil {
+	timeLeft := time.Until(deadline)
+	timeoutTimer.Stop() // the wait that follows is not caused by discovery
+	if err := c.awaitApplied(ctx); err != nil {
 		return nil, err
 	}
-	over.Reset(left)
-	body := &progressReader{input: resp.Body, timeoutTimer: over, maxBytes: d.maxAnswerBytes, begun: begun, stallTimeout: d.timing.stallTimeout, maxTimedBytes: d.maxAnswerBytes}
-	if known := d.directory.Len(); d.timing.limitTransferTime && known > 0 {
+	timeoutTimer.Reset(timeLeft)
+	body := &progressReader{input: resp.Body, timeoutTimer: timeoutTimer, maxBytes: c.maxAnswerBytes, begun: begun,
+		stallTimeout: c.timing.stallTimeout, maxTimedBytes: c.maxAnswerBytes}
+	if known := c.directory.Len(); c.timing.limitTransferTime && known > 0 {
 		body.maxTimedBytes = max(minTimedBytes, 2*int64(known)*typicalRowBytes)
 	}
-	list, err := d.directory.readAnswer(bufio.NewReaderSize(body, readBufferBytes), int(d.maxAnswerBytes/minRowBytes))
+	list, err := c.directory.readAnswer(bufio.NewReaderSize(body, readBufferBytes), int(c.maxAnswerBytes/minRowBytes))
 	switch cause := context.Cause(ctx); {
 	case errors.Is(err, errListTooLarge):
 		return nil, err
 	case err != nil && cause != nil:
-		return nil, fmt.Errorf("%w: %d bytes came, not in time: %w", errUnreadable, body.bytesRead, cause)
+		return nil, fmt.Errorf("%w: timed out after %d bytes: %w", errUnreadable, body.bytesRead, cause)
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", errUnreadable, err)
 	}
-	d.discardTrailing(resp.Body, over)
+	c.discardTrailing(resp.Body, timeoutTimer)
 	return list, nil
 }
 
-// discardTrailing reads what little there is behind an answer, so that its connection can be used again.
-func (d *Client) discardTrailing(body io.Reader, over *time.Timer) {
-	over.Reset(trailingTimeout)
+// discardTrailing reads the few bytes that may follow an answer, so that its connection can be reused.
+func (c *Client) discardTrailing(body io.Reader, timeoutTimer *time.Timer) {
+	timeoutTimer.Reset(trailingTimeout)
 	io.Copy(io.Discard, io.LimitReader(body, maxTrailingBytes))
 }
 
-// progressReader reads an answer that may take as long as it comes on, up to a number of bytes.
+// progressReader reads the body of an answer, up to a number of bytes. It restarts the time limit of the call as data
+// arrives: at most stallTimeout between bytes and, as a whole, stallTimeout and the time that the bytes so far take at
+// minBytesPerSecond.
 type progressReader struct {
 	input         io.Reader
-	timeoutTimer  *time.Timer // ends the call
+	timeoutTimer  *time.Timer // ends the call when it expires
 	maxBytes      int64
 	bytesRead     int64
-	begun         chan<- struct{}
-	firstByteAt   time.Time     // of the first byte
+	begun         chan<- struct{} // closed at the first byte
+	firstByteAt   time.Time
 	stallTimeout  time.Duration // between bytes
-	maxTimedBytes int64         // bytes that buy time
+	maxTimedBytes int64         // bytes that extend the time limit
 }
 
 func (p *progressReader) Read(b []byte) (int, error) {
@@ -505,8 +559,8 @@
 		return 0, fmt.Errorf("%w: over %d bytes, the limit is %d", errListTooLarge, p.bytesRead, p.maxBytes)
 	}
 	if n > 0 {
-		all := p.stallTimeout + time.Duration(min(p.bytesRead, p.maxTimedBytes))*time.Second/minBytesPerSecond
-		p.timeoutTimer.Reset(min(p.stallTimeout, all-time.Since(p.firstByteAt)))
+		timeLimit := p.stallTimeout + time.Duration(min(p.bytesRead, p.maxTimedBytes))*time.Second/minBytesPerSecond
+		p.timeoutTimer.Reset(min(p.stallTimeout, timeLimit-time.Since(p.firstByteAt)))
 	}
 	return n, err
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -13,17 +13,18 @@
 	"time"
 )
 
-// scriptedDiscovery is a discovery whose every answer a test gives by hand.
+// scriptedDiscovery is a discovery whose answers are scripted one by one by the test.
 type scriptedDiscovery struct {
 	server      *httptest.Server
-	queries     chan string // query of each call
-	answers     chan string // the next answer; "" is a call that falls silent, with its connection open
-	lateAnswers chan string // what calls that fell silent get at last
+	queries     chan string // the query of each call
+	answers     chan string // the next answer; "" leaves the call unanswered, with its connection open
+	lateAnswers chan string // the answers that unanswered calls get in the end
 }
 
 func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
 	t.Helper()
-	s := &scriptedDiscovery{queries: make(chan string, 64), answers: make(chan string, 64), lateAnswers: make(chan string, 64)}
+	s := &scriptedDiscovery{queries: make(chan string, 64), answers: make(chan string, 64),
+		lateAnswers: make(chan string, 64)}
 	s.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.queries <- r.URL.RawQuery
 		var text string
@@ -43,7 +44,7 @@
 
 func (s *scriptedDiscovery) address() string { return strings.TrimPrefix(s.server.URL, "http://") }
 
-// logBuffer is a log that tests look into.
+// logBuffer is a log that tests search.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -61,27 +62,28 @@
 	return strings.Count(l.text.String(), what)
 }
 
-// newWatchingClient watches a script from generation 5 on, until the test ends.
+// newWatchingClient returns a client that watches s from generation 5 on, until the test ends.
 func newWatchingClient(t *testing.T, s *scriptedDiscovery) (*Client, <-chan any, *logBuffer) {
 	t.Helper()
 	events, log := make(chan any, 64), &logBuffer{}
-	d := newTestClient(s.address(), 2, time.Second, 5, slog.New(slog.NewTextHandler(log, nil)), events)
-	d.generation, d.hasList = 5, true
+	client := newTestClient(s.address(), 2, time.Second, 5, slog.New(slog.NewTextHandler(log, nil)), events)
+	client.generation, client.hasList = 5, true
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan bool)
-	go func() { defer close(done); d.Watch(ctx) }()
+	go func() { defer close(done); client.Watch(ctx) }()
 	t.Cleanup(func() { stop(); <-done })
-	return d, events, log
+	return client, events, log
 }
 
 const goodAnswer = "{\n \"generation\": 6,\n \"reset\": false,\n \"instances\": [\n  {\"instanceId\": \"a\", \"hostPort\": \"h:1\", \"cell\": 1, \"lifecycle\": \"up\"}\n ]\n}\n"
 
-// What makes no sense leaves the last good list in force, with a line in the log, and is asked for again at once: a
-// pause as after a discovery that is overbooked would miss what counts as told meanwhile.
+// An unusable answer leaves the last good list in force, is logged, and is requested again after a short backoff: a
+// long pause, as for an overloaded discovery, would miss changes that count as known by then.
 func TestMalformedAnswerKeepsKnownList(t *testing.T) {
 	for _, nonsense := range []string{`{"generation":6,"reset":true,"instances":[{"inst`, `"x"`, `[]`, `{}`, `{"generation":"six"}`,
 		"<html>", `{"generation":4,"reset":true,"instances":[{"instanceId":"old","hostPort":"h:1","lifecycle":"up"}]}`,
-		`{"generation":6,"reset":true}`, `{"generation":6,"reset":true,"instances":null}`, `{"generation":4,"reset":false,"instances":[]}`, `{"generation":-1,"reset":true,"instances":[]}`} {
+		`{"generation":6,"reset":true}`, `{"generation":6,"reset":true,"instances":null}`,
+		`{"generation":4,"reset":false,"instances":[]}`, `{"generation":-1,"reset":true,"instances":[]}`} {
 		s := newScriptedDiscovery(t)
 		_, events, log := newWatchingClient(t, s)
 		s.answers <- nonsense
@@ -89,32 +91,32 @@
 		awaitUnusable(t, events, 1)
 		first := awaitEvent(t, events, "list")
 		if first.Err != nil || first.Update.Generation != 6 || len(first.Update.Rows) != 1 {
-			t.Errorf("%s: told %+v", nonsense, first)
+			t.Errorf("%s: got event %+v", nonsense, first)
 		}
-		for _, want := range []string{"from=5&hold_ms=4000", "from=5&hold_ms=1"} { // again, not waiting for more news
+		for _, want := range []string{"from=5&hold_ms=4000", "from=5&hold_ms=1"} { // again, without waiting for a change
 			if q := awaitValue(t, s.queries, "call"); q != want {
-				t.Errorf("%s: asked %q, want %q", nonsense, q, want)
+				t.Errorf("%s: query %q, want %q", nonsense, q, want)
 			}
 		}
-		if log.count("the list stays as it is") != 1 {
-			t.Errorf("%s: no line in the log", nonsense)
+		if log.count("keeping the known list") != 1 {
+			t.Errorf("%s: not logged once", nonsense)
 		}
 	}
 }
 
-// awaitUnusable takes the word of so many answers that can't be used, and nothing else.
+// awaitUnusable receives so many events that report an unusable answer, and fails on any other event.
 func awaitUnusable(t *testing.T, events <-chan any, count int) {
 	t.Helper()
 	for range count {
-		ev := awaitValue(t, events, "word of an answer that can't be used").(Event)
+		ev := awaitValue(t, events, "event of an unusable answer").(Event)
 		if !ev.UnusableAnswer || ev.Err != nil || ev.HasUpdate {
-			t.Errorf("told %+v", ev)
+			t.Errorf("got event %+v", ev)
 		}
 	}
 }
 
-// The same list again changes nothing, and a discovery that keeps answering with older ones has begun its count anew:
-// then its whole list is asked for.
+// The same list again is accepted and changes nothing. A discovery that keeps answering with older lists has restarted
+// its generations: then the client requests the whole list.
 func TestRepeatedAndRenumberedLists(t *testing.T) {
 	s := newScriptedDiscovery(t)
 	_, events, _ := newWatchingClient(t, s)
@@ -122,7 +124,7 @@
 	s.answers <- goodAnswer
 	for range 2 {
 		if ev := awaitEvent(t, events, "list"); ev.Err != nil || ev.Update.Generation != 6 {
-			t.Errorf("told %+v", ev)
+			t.Errorf("got event %+v", ev)
 		}
 	}
 	for range maxBadAnswers {
@@ -130,195 +132,207 @@
 	}
 	awaitUnusable(t, events, maxBadAnswers)
 	if ev := awaitEvent(t, events, "failure"); ev.Err == nil {
-		t.Errorf("told %+v", ev)
+		t.Errorf("got event %+v", ev)
 	}
 
 	s = newScriptedDiscovery(t)
-	d, events, _ := newWatchingClient(t, s)
+	client, events, _ := newWatchingClient(t, s)
 	for range maxBadAnswers {
 		s.answers <- `{"generation":2,"reset":false,"instances":[]}`
 	}
 	awaitUnusable(t, events, maxBadAnswers)
 	awaitEvent(t, events, "failure")
 	s.answers <- `{"generation":2,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`
-	go d.Watch(t.Context()) // as the module has it do
+	go client.Watch(t.Context()) // as the decision logic requests
 	if ev := awaitEvent(t, events, "list"); ev.Err != nil || ev.Update.Generation != 2 {
-		t.Errorf("told %+v", ev)
+		t.Errorf("got event %+v", ev)
 	}
 	var last string
 	for range maxBadAnswers + 1 {
 		last = awaitValue(t, s.queries, "call")
 	}
 	if last != "" {
-		t.Errorf("asked %q, want the whole list", last)
+		t.Errorf("query %q, want that of the whole list", last)
 	}
 }
 
-// A watch that falls silent with its connection open is opened anew, and its late answer harms nothing.
+// A watch that gets no answer while its connection stays open ends with an error and can be started again. A late
+// answer to the old call has no effect.
 func TestUnresponsiveWatchIsReopened(t *testing.T) {
 	s := newScriptedDiscovery(t)
 	events := make(chan any, 64)
-	d := newTestClient(s.address(), 2, time.Second, 5, slog.New(slog.DiscardHandler), events)
-	d.generation, d.hasList, d.timing.holdTime = 5, true, time.Millisecond
-	s.answers <- "" // silent
-	go d.Watch(t.Context())
-	if ev := awaitEvent(t, events, "end of the silent watch"); ev.Err == nil {
-		t.Fatalf("told %+v", ev)
+	client := newTestClient(s.address(), 2, time.Second, 5, slog.New(slog.DiscardHandler), events)
+	client.generation, client.hasList, client.timing.holdTime = 5, true, time.Millisecond
+	s.answers <- "" // no answer
+	go client.Watch(t.Context())
+	if ev := awaitEvent(t, events, "end of the unresponsive watch"); ev.Err == nil {
+		t.Fatalf("got event %+v", ev)
 	}
 	s.answers <- goodAnswer
-	go d.Watch(t.Context())
+	go client.Watch(t.Context())
 	if ev := awaitEvent(t, events, "list"); ev.Err != nil || ev.Update.Generation != 6 {
-		t.Fatalf("told %+v", ev)
+		t.Fatalf("got event %+v", ev)
 	}
-	s.lateAnswers <- `{"generation":3,"reset":true,"instances":[]}` // written by the old call's side, after all
+	s.lateAnswers <- `{"generation":3,"reset":true,"instances":[]}` // as the answer to the old call
 	s.answers <- strings.Replace(goodAnswer, "6", "7", 1)
 	if ev := awaitEvent(t, events, "next list"); ev.Err != nil || ev.Update.Generation != 7 {
-		t.Errorf("told %+v", ev)
+		t.Errorf("got event %+v", ev)
 	}
 }
 
-// Discovery moves while its watch is silent: the new address is asked at once for the whole list.
+// The address of discovery changes while a watch is waiting: the client requests the whole list from the new address at
+// once.
 func TestAddressChangeDuringUnresponsiveWatch(t *testing.T) {
-	s, next := newScriptedDiscovery(t), newScriptedDiscovery(t)
-	d, events, _ := newWatchingClient(t, s)
+	s, second := newScriptedDiscovery(t), newScriptedDiscovery(t)
+	client, events, _ := newWatchingClient(t, s)
 	s.answers <- ""
 	awaitValue(t, s.queries, "watch")
-	next.answers <- `{"generation":2,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`
-	d.SetAddress(next.address())
+	second.answers <- `{"generation":2,"reset":true,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"up"}]}`
+	client.SetAddress(second.address())
 	if ev := awaitEvent(t, events, "list"); ev.Err != nil || ev.Update.Generation != 2 {
-		t.Errorf("told %+v", ev)
+		t.Errorf("got event %+v", ev)
 	}
-	if q := awaitValue(t, next.queries, "call"); q != "" {
-		t.Errorf("asked %q, want the whole list", q)
+	if q := awaitValue(t, second.queries, "call"); q != "" {
+		t.Errorf("query %q, want that of the whole list", q)
 	}
 }
 
-// A fleet watches like few senders while discovery answers soon: what changes within 0.2 s of an answer that no further
-// call follows counts as told, though nothing tells it. A watch that waited for news does not tell whether discovery has
-// time; the first call does. It comes with a restart, since what it would tell counts as told, and within the grace of a
-// first start where the fleet is too large for its calls to spread. Where its answer is late, discovery is overbooked by
-// such calls, and each of many senders pauses.
+// While discovery answers soon, many senders watch without pauses, as few senders do: a change within 0.2 s of an
+// answer counts as known even if no further call is made. The duration of a watch does not show whether discovery is
+// overloaded; that of the first call does. After a restart the first call is made at once, since changes that it would
+// report count as known; at a first start of a fleet that is too large for its calls to spread, within the drain grace.
+// If the answer to the first call is late, discovery is overloaded by such calls, and each of many senders pauses.
 func TestWatchPausesWhenDiscoveryIsBusy(t *testing.T) {
 	for _, x := range []struct {
 		senders int
-		back    bool
-		late    time.Duration // of the first answer
-		soon    time.Duration // the first call comes within that
-	}{{2, false, 0, 0}, {10, false, 0, 10 * pausePerSender}, {10, true, 4 * promptAnswerTime, 0}, {10, true, 0, 0}, {300, true, 0, 0}, {300, false, 0, time.Second}} {
-		p := newFakeDiscovery(t)
-		p.list = List{Generation: 3, Reset: true, Instances: []Instance{{ID: "a", HostPort: "h:1", Lifecycle: "up"}}}
-		p.nextAnswerDelay = x.late
+		restart bool
+		delay   time.Duration // of the first answer
+		within  time.Duration // the first call comes within this time
+	}{{2, false, 0, 0}, {10, false, 0, 10 * pausePerSender}, {10, true, 4 * promptAnswerTime, 0}, {10, true, 0, 0},
+		{300, true, 0, 0}, {300, false, 0, time.Second}} {
+		discovery := newFakeDiscovery(t)
+		discovery.list = List{Generation: 3, Reset: true, Instances: []Instance{{ID: "a", HostPort: "h:1", Lifecycle: "up"}}}
+		discovery.nextAnswerDelay = x.delay
 		events := make(chan any, 8)
-		d := newTestClient(strings.TrimPrefix(p.server.URL, "http://"), x.senders, time.Second, 5, slog.New(slog.DiscardHandler), events)
-		d.generation, d.hasList, d.restarted = 2, true, x.back // the list of the configuration
+		client := newTestClient(strings.TrimPrefix(discovery.server.URL, "http://"), x.senders, time.Second, 5,
+			slog.New(slog.DiscardHandler), events)
+		client.generation, client.hasList, client.restarted = 2, true, x.restart // the list of the configuration
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
-		at := time.Now()
-		go func() { defer close(done); d.Watch(ctx) }()
-		first, watch := "from=2&hold_ms=4000", "from=4&hold_ms=4000"
+		startedAt := time.Now()
+		go func() { defer close(done); client.Watch(ctx) }()
+		wantFirst, wantWatch := "from=2&hold_ms=4000", "from=4&hold_ms=4000"
 		if x.senders >= SpreadMinSenders {
-			first, watch = "from=2&hold_ms=1", "from=4&hold_ms=13000"
+			wantFirst, wantWatch = "from=2&hold_ms=1", "from=4&hold_ms=13000"
 		}
-		if query := awaitValue(t, p.queries, "first call"); query != first || time.Since(at) > x.soon+100*time.Millisecond {
-			t.Errorf("%+v: %s %v after the start, want %s", x, query, time.Since(at), first)
+		if query := awaitValue(t, discovery.queries, "first call"); query != wantFirst ||
+			time.Since(startedAt) > x.within+100*time.Millisecond {
+			t.Errorf("%+v: first call %s %v after the start, want %s", x, query, time.Since(startedAt), wantFirst)
 		}
 		awaitEvent(t, events, "list")
-		at = time.Now()
-		awaitValue(t, p.queries, "watch")
-		if gap := time.Since(at); gap > 100*time.Millisecond {
+		startedAt = time.Now()
+		awaitValue(t, discovery.queries, "watch")
+		if gap := time.Since(startedAt); gap > 100*time.Millisecond {
 			t.Errorf("%+v: the watch began %v after the list", x, gap)
 		}
 		<-time.After(busyAnswerTime + 50*time.Millisecond)
-		p.update(func() {
-			p.list = List{Generation: 4, Instances: []Instance{{ID: "a", HostPort: "h:1", Lifecycle: "up"}}}
+		discovery.update(func() {
+			discovery.list = List{Generation: 4, Instances: []Instance{{ID: "a", HostPort: "h:1", Lifecycle: "up"}}}
 		})
-		awaitEvent(t, events, "news")
-		at = time.Now()
-		query := awaitValue(t, p.queries, "next watch")
-		least := time.Duration(0)
-		if x.late > 0 {
-			least = time.Duration(x.senders) * pausePerSender * 90 / 100
+		awaitEvent(t, events, "change")
+		startedAt = time.Now()
+		query := awaitValue(t, discovery.queries, "next watch")
+		minGap := time.Duration(0)
+		if x.delay > 0 {
+			minGap = time.Duration(x.senders) * pausePerSender * 90 / 100
 		}
-		if gap := time.Since(at); gap < least || least == 0 && gap > 100*time.Millisecond || query != watch {
-			t.Errorf("%+v: %s after %v, want %s after %v at least", x, query, gap, watch, least)
+		if gap := time.Since(startedAt); gap < minGap || minGap == 0 && gap > 100*time.Millisecond || query != wantWatch {
+			t.Errorf("%+v: next watch %s after %v, want %s after %v at least", x, query, gap, wantWatch, minGap)
 		}
 		stop()
 		<-done
 	}
 }
 
-// A sender that pauses asks the new address at once when discovery moves: what it has to tell counts as told 4 s after
-// the signal, and a pause may last longer.
+// A change of discovery's address ends a pause, and the client calls the new address at once: changes there count as
+// known 4 s after the signal, and a pause may last longer.
 func TestAddressChangeEndsPause(t *testing.T) {
-	p := newFakeDiscovery(t)
-	p.list = List{Generation: 3, Reset: true, Instances: []Instance{{ID: "a", HostPort: "h:1", Lifecycle: "up"}}}
-	p.nextAnswerDelay = busyAnswerTime + 2*promptAnswerTime
+	discovery := newFakeDiscovery(t)
+	discovery.list = List{Generation: 3, Reset: true, Instances: []Instance{{ID: "a", HostPort: "h:1", Lifecycle: "up"}}}
+	discovery.nextAnswerDelay = busyAnswerTime + 2*promptAnswerTime
 	events := make(chan any, 8)
-	d := newTestClient(strings.TrimPrefix(p.server.URL, "http://"), 300, time.Second, 5, slog.New(slog.DiscardHandler), events)
+	client := newTestClient(strings.TrimPrefix(discovery.server.URL, "http://"), 300, time.Second, 5,
+		slog.New(slog.DiscardHandler), events)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); d.Watch(ctx) }()
-	awaitValue(t, p.queries, "first call")
+	go func() { defer close(done); client.Watch(ctx) }()
+	awaitValue(t, discovery.queries, "first call")
 	awaitEvent(t, events, "list")
-	at := time.Now()
-	d.SetAddress(strings.TrimPrefix(p.server.URL, "http://"))
-	if query := awaitValue(t, p.queries, "call to the new address"); query != "" || time.Since(at) > 500*time.Millisecond {
-		t.Errorf("%q %v after the move, want the whole list at once", query, time.Since(at))
+	movedAt := time.Now()
+	client.SetAddress(strings.TrimPrefix(discovery.server.URL, "http://"))
+	if query := awaitValue(t, discovery.queries, "call to the new address"); query != "" ||
+		time.Since(movedAt) > 500*time.Millisecond {
+		t.Errorf("query %q %v after the address change, want that of the whole list at once", query, time.Since(movedAt))
 	}
 	stop()
 	<-done
 }
 
-// A call that is out for longer than discovery takes to reject calls waits for news, and the loop is told so.
+// A call that has had no answer for longer than discovery takes to reject a call was accepted and waits for a change;
+// the client reports it.
 func TestAcceptedWatchIsReported(t *testing.T) {
-	p := newFakeDiscovery(t)
-	p.list = List{Generation: 3, Reset: true, Instances: []Instance{}}
+	discovery := newFakeDiscovery(t)
+	discovery.list = List{Generation: 3, Reset: true, Instances: []Instance{}}
 	events := make(chan any, 8)
-	d := newTestClient(strings.TrimPrefix(p.server.URL, "http://"), 2, time.Second, 5, slog.New(slog.DiscardHandler), events)
+	client := newTestClient(strings.TrimPrefix(discovery.server.URL, "http://"), 2, time.Second, 5,
+		slog.New(slog.DiscardHandler), events)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); d.Watch(ctx) }()
+	go func() { defer close(done); client.Watch(ctx) }()
 	if ev := awaitEvent(t, events, "list"); ev.WatchAccepted {
-		t.Error("a list is told as a watch that waits")
+		t.Error("a list is reported as an accepted watch")
 	}
-	at := time.Now()
-	if ev := awaitEvent(t, events, "a watch that waits"); !ev.WatchAccepted || time.Since(at) < 2*time.Second {
-		t.Errorf("%+v after %v, want a watch that waits after the 2 s in which it may be turned away", ev, time.Since(at))
+	listedAt := time.Now()
+	if ev := awaitEvent(t, events, "accepted watch"); !ev.WatchAccepted || time.Since(listedAt) < 2*time.Second {
+		t.Errorf("%+v after %v, want an accepted watch after the 2 s in which it may be rejected", ev, time.Since(listedAt))
 	}
 	stop()
 	<-done
 }
 
-// Whatever the number of senders, the answer after a pause comes before what changed since the last one counts as told
-// for longer than a drain's grace.
+// For any number of senders, the answer after a pause arrives before changes since the last answer have counted as
+// known for longer than a drain grace.
 func TestAnswersArriveWithinMaxListAge(t *testing.T) {
 	for _, senders := range []int{SpreadMinSenders, 36, 80, 1 << 40} {
-		d := newTestClient("127.0.0.1:1", senders, time.Second, 5, slog.New(slog.DiscardHandler), nil)
-		if longest := d.timing.busyPause*108/100 + 2*time.Second; d.timing.busyPause <= 0 || longest > MaxListAge+time.Second {
-			t.Errorf("%d senders: an answer may come after %v", senders, longest)
+		client := newTestClient("127.0.0.1:1", senders, time.Second, 5, slog.New(slog.DiscardHandler), nil)
+		if longest := client.timing.busyPause*108/100 + 2*time.Second; client.timing.busyPause <= 0 ||
+			longest > MaxListAge+time.Second {
+			t.Errorf("%d senders: an answer may arrive after %v", senders, longest)
 		}
 	}
 }
 
-// A restarted sender, and one that takes over, goes on with the watch at once, however many senders there are: it is no
-// first start, whose calls are spread.
+// A sender that was restarted or takes over watches at once, whatever the number of senders: only the calls of a first
+// start are spread.
 func TestRestartedSenderWatchesWithoutDelay(t *testing.T) {
-	p := newFakeDiscovery(t)
-	d := newTestClient(strings.TrimPrefix(p.server.URL, "http://"), 300, time.Second, 5, slog.New(slog.DiscardHandler), make(chan any, 8))
-	d.timing.firstPause = time.Hour
-	d.SetInitialState(-1, true)
+	discovery := newFakeDiscovery(t)
+	client := newTestClient(strings.TrimPrefix(discovery.server.URL, "http://"), 300, time.Second, 5,
+		slog.New(slog.DiscardHandler), make(chan any, 8))
+	client.timing.firstPause = time.Hour
+	client.SetInitialState(-1, true)
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { defer close(done); d.Watch(ctx) }()
-	awaitValue(t, p.queries, "call for the list")
+	go func() { defer close(done); client.Watch(ctx) }()
+	awaitValue(t, discovery.queries, "call for the list")
 	stop()
 	<-done
 }
 
-// The next answer is compared only once the loop has applied the last one: else it would be told again, or missed.
+// The next answer is compared only after the last update has been applied: otherwise a change would be reported twice,
+// or missed.
 func TestAnswerIsComparedAfterPreviousUpdateIsApplied(t *testing.T) {
 	s := newScriptedDiscovery(t)
-	d, events, _ := newWatchingClient(t, s)
+	client, events, _ := newWatchingClient(t, s)
 	s.answers <- goodAnswer
 	s.answers <- strings.Replace(goodAnswer, "6", "7", 1) // the same row in a newer list
 	first := awaitValue(t, events, "list").(Event)
@@ -327,14 +341,14 @@
 	}
 	select {
 	case ev := <-events:
-		t.Fatalf("told %+v before the last update was applied", ev)
-	case <-time.After(100 * time.Millisecond): // the answer has come meanwhile
+		t.Fatalf("got event %+v before the last update was applied", ev)
+	case <-time.After(100 * time.Millisecond): // the answer has arrived meanwhile
 	}
-	if rows := d.directory.Apply(&first.Update, time.Now()); len(rows) != 1 {
-		t.Errorf("the module is told %v", rows)
+	if rows := client.directory.Apply(&first.Update, time.Now()); len(rows) != 1 {
+		t.Errorf("Apply returned entries %v", rows)
 	}
 	first.Done()
 	if next := awaitEvent(t, events, "next list"); next.Update.Generation != 7 || len(next.Update.Rows) != 0 {
-		t.Errorf("told %+v", next)
+		t.Errorf("got event %+v", next)
 	}
 }
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -1,3 +1,6 @@
+// This file holds the directory: the replica of the list in memory, by endpoint name and by the number that the
+// decision logic uses for an endpoint.
+
 package discovery
 
 import (
@@ -12,29 +15,36 @@
 )
 
 const (
-	unlistedRetention          = 10 * time.Minute // what is not listed keeps its number for so long ...
-	maxExtraUnlisted           = 16384            // ... unless that is as many as are listed, and so many more ...
-	minUnlistedRetention       = 30 * time.Second // ... then it is for so long: lists that name all anew would fill the memory
-	recordsPerPage             = 256              // records that are kept together
-	maxLabels                  = 4096             // different zones, or kinds, that are told apart
-	maxAnnouncedPerDestination = 1024             // endpoints of one destination that the module is told of: it looks at each for each call
+	unlistedRetention = 10 * time.Minute // how long an endpoint that is not listed keeps its number
+
+	// With more unlisted endpoints than listed ones plus maxExtraUnlisted, they keep their numbers only for
+	// minUnlistedRetention: lists that rename all endpoints again and again would fill the memory otherwise.
+	maxExtraUnlisted     = 16384
+	minUnlistedRetention = 30 * time.Second
+
+	recordsPerPage = 256  // records that are allocated together
+	maxLabels      = 4096 // different zones, or kinds, that are distinguished
+
+	// Endpoints of one destination that the decision logic gets: it looks at each of them for each call.
+	maxAnnouncedPerDestination = 1024
 )
 
-// Directory is the replica of the list: it maps names to the module's numbers and numbers to targets. Only the owner of
-// the loop changes it; others may read it at any time. An endpoint takes some 150 bytes and its name and address.
+// Directory is the replica of the list: it maps endpoint names to the numbers that the decision logic uses, and numbers
+// to targets. Only the goroutine of the event loop changes it; others may read it at any time. An endpoint takes about
+// 150 bytes, plus its name and address.
 type Directory struct {
 	mu                   sync.RWMutex
 	zones                labelTable
 	kinds                labelTable
 	idsByName            map[string]logic.EndpointID
-	pages                map[logic.EndpointID]*page // by number / pageSize
+	pages                map[logic.EndpointID]*page // by number / recordsPerPage
 	lastID               logic.EndpointID
-	unlistedSince        map[logic.EndpointID]time.Time // since when what has a number is not listed
+	unlistedSince        map[logic.EndpointID]time.Time // of endpoints that have a number but are not listed
 	listedCount          int
-	unknownCount         int                                     // records whose state is not known
-	announcedUpCounts    map[int64]int                           // endpoints of a destination that are up and told
-	omittedByDestination map[int64]map[logic.EndpointID]struct{} // endpoints of one that are listed and not told
-	omittedCount         int                                     // all of those
+	unknownCount         int                                     // records in stateUnknown
+	announcedUpCounts    map[int64]int                           // announced endpoints that are up, by destination
+	omittedByDestination map[int64]map[logic.EndpointID]struct{} // endpoints that are listed but not announced
+	omittedCount         int                                     // number of all of those
 }
 
 type page struct {
@@ -42,7 +52,7 @@
 	usedCount int
 }
 
-// record is what the list last said of an endpoint.
+// record is what the list last said about an endpoint.
 type record struct {
 	name        string
 	address     string
@@ -51,22 +61,22 @@
 	zoneLabel   uint16
 	kindLabel   uint16
 	state       recordState
-	announced   bool // the module knows it
+	announced   bool // the decision logic has it
 }
 
 type recordState uint8
 
 const (
 	stateEmpty    recordState = iota // no record
-	stateUnlisted                    // has a number only
+	stateUnlisted                    // has a number, but is not in the list
 	stateUp
 	stateDraining
-	stateUnknown // taken over from another process, which listed it or did not
+	stateUnknown // taken over from another process; whether it is listed is not known yet
 )
 
 func (s recordState) isListed() bool { return s == stateUp || s == stateDraining }
 
-// parseLifecycle reads a lifecycle. One that is not known is no invitation to send.
+// parseLifecycle returns the state for a lifecycle. An unknown one counts as draining, so that nothing new is sent.
 func parseLifecycle(lifecycle string) recordState {
 	switch lifecycle {
 	case "up":
@@ -97,16 +107,17 @@
 	return logic.Removed
 }
 
-// labelTable keeps each of few strings once. Place 0 is the empty string, and whatever comes when there are too many.
+// labelTable keeps one copy of each of a few strings. Index 0 stands for the empty string, and for any string that is
+// added when the table is full.
 type labelTable struct {
 	names           []string
 	indexByName     map[string]uint16
-	settingsIndexes []int // of each in the settings; -1 if they do not have it
-	settingsNames   []string
+	settingsIndexes []int    // index of each string in settingsNames; -1 if it is not there
+	settingsNames   []string // zones or kinds of the settings
 }
 
-func newLabelTable(known []string) labelTable {
-	l := labelTable{indexByName: map[string]uint16{}, settingsNames: known}
+func newLabelTable(settingsNames []string) labelTable {
+	l := labelTable{indexByName: map[string]uint16{}, settingsNames: settingsNames}
 	l.add("")
 	return l
 }
@@ -115,12 +126,13 @@
 	i, ok := l.indexByName[name]
 	if !ok && len(l.names) < maxLabels {
 		i = uint16(len(l.names))
-		l.indexByName[name], l.names, l.settingsIndexes = i, append(l.names, name), append(l.settingsIndexes, slices.Index(l.settingsNames, name))
+		l.indexByName[name], l.names, l.settingsIndexes = i, append(l.names, name),
+			append(l.settingsIndexes, slices.Index(l.settingsNames, name))
 	}
 	return i
 }
 
-// matches says whether name is kept at i.
+// matches reports whether name has index i.
 func (l *labelTable) matches(i uint16, name string) bool {
 	return l.names[i] == name || i == 0 && len(l.names) == maxLabels && l.indexByName[name] == 0
 }
@@ -128,26 +140,27 @@
 // Target is where an endpoint can be reached.
 type Target struct {
 	Address     string // host:port
-	ZoneIndex   int    // place in the settings' zones; -1 if they do not have it
+	ZoneIndex   int    // index in the settings' zones; -1 if they do not have it
 	Destination int64
-	KindIndex   int // place in the settings' kinds; -1 if they do not have it
+	KindIndex   int // index in the settings' kinds; -1 if they do not have it
 
-	Lifecycle string  // what the list says: up, draining or removed; empty if that is not known
+	Lifecycle string  // according to the list: up, draining or removed; empty if not known
 	Weight    float64 // as in Instance
 }
 
-// NewDirectory returns an empty directory; zones and kinds are those of the settings.
+// NewDirectory returns an empty directory. zones and kinds are those of the settings.
 func NewDirectory(zones []string, kinds []logic.Kind) *Directory {
-	var names []string
+	var kindNames []string
 	for _, k := range kinds {
-		names = append(names, k.Name)
+		kindNames = append(kindNames, k.Name)
 	}
-	return &Directory{zones: newLabelTable(zones), kinds: newLabelTable(names), idsByName: map[string]logic.EndpointID{},
-		pages: map[logic.EndpointID]*page{}, unlistedSince: map[logic.EndpointID]time.Time{}, announcedUpCounts: map[int64]int{},
+	return &Directory{zones: newLabelTable(zones), kinds: newLabelTable(kindNames),
+		idsByName: map[string]logic.EndpointID{}, pages: map[logic.EndpointID]*page{},
+		unlistedSince: map[logic.EndpointID]time.Time{}, announcedUpCounts: map[int64]int{},
 		omittedByDestination: map[int64]map[logic.EndpointID]struct{}{}}
 }
 
-// record is the place of a number's record; nil if there is none.
+// record returns the record of a number; nil if there is none.
 func (d *Directory) record(id logic.EndpointID) *record {
 	p := d.pages[id/recordsPerPage]
 	if p == nil || p.records[id%recordsPerPage].state == stateEmpty {
@@ -156,43 +169,45 @@
 	return &p.records[id%recordsPerPage]
 }
 
-// Apply takes an update and returns what the module is to be told. An endpoint keeps its number while it is listed and
-// for some time after, whatever its address. The cost is that of the update's rows, whatever the size of the list.
+// Apply applies an update and returns the entries for the decision logic. An endpoint keeps its number while it is
+// listed and for some time afterwards, even if its address changes. The cost depends on the number of rows in the
+// update, not on the size of the list.
 func (d *Directory) Apply(u *Update, now time.Time) []logic.Entry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	rows := make([]logic.Entry, 0, len(u.Rows))
-	var short []int64 // destinations that may have room for what was omitted
+	entries := make([]logic.Entry, 0, len(u.Rows))
+	var freedDestinations []int64 // destinations that may have room for omitted endpoints
 	for i := range u.Rows {
 		in := &u.Rows[i]
 		id := d.assignID(in.ID)
 		r := d.record(id)
-		left := r.destination
+		oldDestination := r.destination
 		d.removeFromCounts(id, r)
 		d.setState(id, r, parseLifecycle(in.Lifecycle), now)
 		if r.state.isListed() {
-			r.zoneLabel, r.kindLabel, r.destination, r.weight = d.zones.add(in.Zone), d.kinds.add(in.Kind), in.Destination, in.Weight
+			r.zoneLabel, r.kindLabel, r.destination, r.weight = d.zones.add(in.Zone), d.kinds.add(in.Kind),
+				in.Destination, in.Weight
 		}
 		if isValidHostPort(in.HostPort) {
 			r.address = in.HostPort
 		}
-		row := d.entry(id, r)
-		if !d.addToCounts(id, r) { // also where it was not told here: a process before may have
-			row.State = logic.Removed
+		entry := d.entry(id, r)
+		if !d.addToCounts(id, r) { // even if it was not announced here: an earlier process may have announced it
+			entry.State = logic.Removed
 		}
-		rows = append(rows, row)
-		if len(d.omittedByDestination[left]) > 0 {
-			short = append(short, left)
+		entries = append(entries, entry)
+		if len(d.omittedByDestination[oldDestination]) > 0 {
+			freedDestinations = append(freedDestinations, oldDestination)
 		}
 	}
-	for _, dest := range short {
-		rows = d.announceOmitted(dest, rows)
+	for _, destination := range freedDestinations {
+		entries = d.announceOmitted(destination, entries)
 	}
 	u.OmittedEndpoints = d.omittedCount
-	return rows
+	return entries
 }
 
-// removeFromCounts takes a record out of the count of what is told, before it changes.
+// removeFromCounts removes a record from the counts of announced and omitted endpoints, before it changes.
 func (d *Directory) removeFromCounts(id logic.EndpointID, r *record) {
 	switch {
 	case r.announced && r.state == stateUp:
@@ -207,17 +222,17 @@
 	}
 }
 
-// addToCounts says whether the module is to know a record, and counts it. What drains takes no room, but is not told anew
-// where there is none.
+// addToCounts decides whether the decision logic gets a record, counts it and returns the decision. A draining endpoint
+// takes no room, but is not newly announced where there is none.
 func (d *Directory) addToCounts(id logic.EndpointID, r *record) bool {
-	room := d.announcedUpCounts[r.destination] < maxAnnouncedPerDestination
+	hasRoom := d.announcedUpCounts[r.destination] < maxAnnouncedPerDestination
 	switch {
 	case !r.state.isListed():
 		r.announced = false
-	case r.state == stateUp && room:
+	case r.state == stateUp && hasRoom:
 		d.announcedUpCounts[r.destination]++
 		r.announced = true
-	case r.state == stateDraining && (r.announced || room):
+	case r.state == stateDraining && (r.announced || hasRoom):
 		r.announced = true
 	default:
 		r.announced = false
@@ -230,23 +245,23 @@
 	return r.announced
 }
 
-// announceOmitted tells the module of endpoints that were omitted, as far as there is room.
-func (d *Directory) announceOmitted(dest int64, rows []logic.Entry) []logic.Entry {
-	for id := range d.omittedByDestination[dest] {
+// announceOmitted announces omitted endpoints of a destination, as far as there is room, and appends their entries.
+func (d *Directory) announceOmitted(destination int64, entries []logic.Entry) []logic.Entry {
+	for id := range d.omittedByDestination[destination] {
 		r := d.record(id)
-		if d.announcedUpCounts[dest] >= maxAnnouncedPerDestination {
+		if d.announcedUpCounts[destination] >= maxAnnouncedPerDestination {
 			break
 		}
 		if r.state == stateUp {
 			d.removeFromCounts(id, r)
 			d.addToCounts(id, r)
-			rows = append(rows, d.entry(id, r))
+			entries = append(entries, d.entry(id, r))
 		}
 	}
-	return rows
+	return entries
 }
 
-// setState gives a record another state.
+// setState changes the state of a record and the counts by state.
 func (d *Directory) setState(id logic.EndpointID, r *record, s recordState, now time.Time) {
 	if r.state.isListed() {
 		d.listedCount--
@@ -267,26 +282,26 @@
 	}
 }
 
-// entry is what the module is told of a record.
+// entry returns a record in the form that the decision logic gets.
 func (d *Directory) entry(id logic.EndpointID, r *record) logic.Entry {
-	return logic.Entry{Endpoint: id, Zone: d.zones.settingsIndexes[r.zoneLabel], Kind: d.kinds.settingsIndexes[r.kindLabel], Destination: r.destination,
-		State: r.state.readiness(), Nominal: r.weight}
+	return logic.Entry{Endpoint: id, Zone: d.zones.settingsIndexes[r.zoneLabel],
+		Kind: d.kinds.settingsIndexes[r.kindLabel], Destination: r.destination, State: r.state.readiness(), Nominal: r.weight}
 }
 
-// instance is a record in the published form.
+// instance returns a record in the form of the list.
 func (d *Directory) instance(r *record) Instance {
-	return Instance{ID: r.name, HostPort: r.address, Zone: d.zones.names[r.zoneLabel], Kind: d.kinds.names[r.kindLabel], Destination: r.destination,
-		Lifecycle: r.state.lifecycle(), Weight: r.weight}
+	return Instance{ID: r.name, HostPort: r.address, Zone: d.zones.names[r.zoneLabel], Kind: d.kinds.names[r.kindLabel],
+		Destination: r.destination, Lifecycle: r.state.lifecycle(), Weight: r.weight}
 }
 
-// isValidHostPort says whether an address can be called.
+// isValidHostPort reports whether an address has a host and a port that is not 0.
 func isValidHostPort(hostPort string) bool {
 	host, port, err := net.SplitHostPort(hostPort)
-	n, bad := strconv.ParseUint(port, 10, 16)
-	return err == nil && bad == nil && host != "" && n > 0
+	n, portErr := strconv.ParseUint(port, 10, 16)
+	return err == nil && portErr == nil && host != "" && n > 0
 }
 
-// AssignID is the module's number for a name, a new one if the name is new.
+// AssignID returns the number of a name, and assigns a new one if it has none.
 func (d *Directory) AssignID(name string) logic.EndpointID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -302,7 +317,7 @@
 	return id
 }
 
-// addRecord gives a name a number.
+// addRecord assigns a number to a name.
 func (d *Directory) addRecord(name string, id logic.EndpointID) *record {
 	d.idsByName[name], d.lastID = id, max(d.lastID, id)
 	p := d.pages[id/recordsPerPage]
@@ -318,7 +333,7 @@
 	return r
 }
 
-// removeRecord takes a name's number back.
+// removeRecord removes a name and its number.
 func (d *Directory) removeRecord(id logic.EndpointID, r *record) {
 	delete(d.idsByName, r.name)
 	delete(d.unlistedSince, id)
@@ -329,7 +344,7 @@
 	}
 }
 
-// LookupID is the number of a name that has one.
+// LookupID returns the number of a name, if it has one.
 func (d *Directory) LookupID(name string) (logic.EndpointID, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -337,54 +352,57 @@
 	return id, ok
 }
 
-// Target is where an endpoint can be reached; false if it never had an address.
-func (d *Directory) Target(ep logic.EndpointID) (Target, bool) {
+// Target returns where an endpoint can be reached; false if it never had an address.
+func (d *Directory) Target(id logic.EndpointID) (Target, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	r := d.record(ep)
+	r := d.record(id)
 	if r == nil || r.address == "" {
 		return Target{}, false
 	}
-	t := Target{Address: r.address, ZoneIndex: d.zones.settingsIndexes[r.zoneLabel], Destination: r.destination, KindIndex: d.kinds.settingsIndexes[r.kindLabel], Weight: r.weight}
+	t := Target{Address: r.address, ZoneIndex: d.zones.settingsIndexes[r.zoneLabel], Destination: r.destination,
+		KindIndex: d.kinds.settingsIndexes[r.kindLabel], Weight: r.weight}
 	if r.state != stateUnknown {
 		t.Lifecycle = r.state.lifecycle()
 	}
 	return t, true
 }
 
-// Name is the published id of an endpoint; empty if the number is not in use.
-func (d *Directory) Name(ep logic.EndpointID) string {
+// Name returns the id of an endpoint in the list; empty if the number is not in use.
+func (d *Directory) Name(id logic.EndpointID) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	if r := d.record(ep); r != nil {
+	if r := d.record(id); r != nil {
 		return r.name
 	}
 	return ""
 }
 
-// Len is the number of endpoints that are listed.
+// Len returns the number of listed endpoints.
 func (d *Directory) Len() int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.listedCount
 }
 
-// AllStatesKnown says whether the state of all that has a number is known: after a takeover it is not until the list came.
+// AllStatesKnown reports whether the state of every record is known. After a takeover it is not until the list has
+// arrived.
 func (d *Directory) AllStatesKnown() bool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return d.unknownCount == 0
 }
 
-// Listed yields what is listed, in the published form, in the order of the numbers. No update may be applied meanwhile.
+// Listed yields the listed endpoints in the form of the list, in the order of their numbers. No update may be applied
+// meanwhile.
 func (d *Directory) Listed() iter.Seq[Instance] {
 	return func(yield func(Instance) bool) {
 		var rows []Instance
-		for n := logic.EndpointID(0); ; n++ {
+		for pageIndex := logic.EndpointID(0); ; pageIndex++ {
 			rows = rows[:0]
 			d.mu.RLock()
-			end := n > d.lastID/recordsPerPage
-			if p := d.pages[n]; p != nil {
+			pastEnd := pageIndex > d.lastID/recordsPerPage
+			if p := d.pages[pageIndex]; p != nil {
 				for i := range p.records {
 					if r := &p.records[i]; r.state.isListed() {
 						rows = append(rows, d.instance(r))
@@ -392,10 +410,10 @@
 				}
 			}
 			d.mu.RUnlock()
-			if end {
+			if pastEnd {
 				return
 			}
-			for _, in := range rows { // unlocked: whoever takes them may be slow
+			for _, in := range rows { // without the lock: yield may be slow
 				if !yield(in) {
 					return
 				}
@@ -404,29 +422,29 @@
 	}
 }
 
-// Entries is all that the module is told of.
+// Entries returns the entries of all announced endpoints.
 func (d *Directory) Entries() []logic.Entry {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
-	rows := make([]logic.Entry, 0, d.listedCount)
+	entries := make([]logic.Entry, 0, d.listedCount)
 	for id, r := range d.records() {
 		if r.announced {
-			rows = append(rows, d.entry(id, r))
+			entries = append(entries, d.entry(id, r))
 		}
 	}
-	return rows
+	return entries
 }
 
-// records yields all that has a number, in order.
+// records yields all records in the order of their numbers.
 func (d *Directory) records() iter.Seq2[logic.EndpointID, *record] {
 	return func(yield func(logic.EndpointID, *record) bool) {
-		for n := logic.EndpointID(0); n <= d.lastID/recordsPerPage; n++ {
-			p := d.pages[n]
+		for pageIndex := logic.EndpointID(0); pageIndex <= d.lastID/recordsPerPage; pageIndex++ {
+			p := d.pages[pageIndex]
 			if p == nil {
 				continue
 			}
 			for i := range p.records {
-				if r := &p.records[i]; r.state != stateEmpty && !yield(n*recordsPerPage+logic.EndpointID(i), r) {
+				if r := &p.records[i]; r.state != stateEmpty && !yield(pageIndex*recordsPerPage+logic.EndpointID(i), r) {
 					return
 				}
 			}
@@ -434,7 +452,7 @@
 	}
 }
 
-// Names yields every name that has a number, listed or not, to the owner of the loop.
+// Names yields every name that has a number, listed or not. Only the goroutine of the event loop may call it.
 func (d *Directory) Names() iter.Seq2[string, logic.EndpointID] {
 	return func(yield func(string, logic.EndpointID) bool) {
 		for id, r := range d.records() {
@@ -445,8 +463,9 @@
 	}
 }
 
-// Adopt takes a number of another process over, with its target (without an address if it has none), before the first
-// update. Where no lifecycle comes with it, whether it is listed is not known until the list tells.
+// Adopt takes over a number that another process has assigned, with its target, before the first update. A target
+// without an address can't be listed. Without a lifecycle, whether the endpoint is listed is not known until the list
+// arrives.
 func (d *Directory) Adopt(name string, id logic.EndpointID, t Target) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -454,7 +473,7 @@
 		return
 	}
 	r := d.addRecord(name, id)
-	if t.Address == "" { // it can't be listed
+	if t.Address == "" {
 		d.setState(id, r, stateUnlisted, time.Now())
 		return
 	}
@@ -470,15 +489,15 @@
 	d.addToCounts(id, r)
 }
 
-// addSettingsName is the label of a place in the settings.
-func (l *labelTable) addSettingsName(place int) uint16 {
-	if place < 0 || place >= len(l.settingsNames) {
+// addSettingsName returns the index in the table of the name at an index in the settings.
+func (l *labelTable) addSettingsName(index int) uint16 {
+	if index < 0 || index >= len(l.settingsNames) {
 		return 0
 	}
-	return l.add(l.settingsNames[place])
+	return l.add(l.settingsNames[index])
 }
 
-// MarkUnknownUnlisted takes what is still in doubt for not listed: all that the list has was told.
+// MarkUnknownUnlisted marks the records whose state is still unknown as not listed: the whole list has been applied.
 func (d *Directory) MarkUnknownUnlisted(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -490,16 +509,16 @@
 	}
 }
 
-// RemoveExpired drops what has not been listed for long, unless it is still in use.
-func (d *Directory) RemoveExpired(now time.Time, used func(name string, id logic.EndpointID) bool) {
+// RemoveExpired removes the endpoints that have not been listed for longer than the retention, unless they are in use.
+func (d *Directory) RemoveExpired(now time.Time, inUse func(name string, id logic.EndpointID) bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	kept := unlistedRetention
+	retention := unlistedRetention
 	if len(d.unlistedSince) > d.listedCount+maxExtraUnlisted {
-		kept = minUnlistedRetention
+		retention = minUnlistedRetention
 	}
 	for id, since := range d.unlistedSince {
-		if r := d.record(id); now.Sub(since) > kept && !used(r.name, id) {
+		if r := d.record(id); now.Sub(since) > retention && !inUse(r.name, id) {
 			d.removeRecord(id, r)
 		}
 	}
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -8,24 +8,26 @@
 	"crossdeal/logic"
 )
 
-// applyList has a directory take a list, and returns what the module is told and how many rows made no sense.
+// applyList applies a list to a directory, and returns the entries for the decision logic and the number of malformed
+// rows.
 func applyList(d *Directory, l List) ([]logic.Entry, int) {
 	u := d.Diff(l)
 	rows := d.Apply(&u, time.Now())
 	return rows, u.UnusableRows
 }
 
-// On a long day endpoints come and go: what is gone for long is forgotten, but for what is in use, and no number is
-// given twice.
+// Endpoints come and go over a long run. Names that have not been listed for long are removed unless they are in use,
+// so that they do not fill the memory, and no number is assigned twice.
 func TestDirectoryRemovesExpiredEndpoints(t *testing.T) {
 	d := NewDirectory(nil, nil)
-	applyList(d, List{Reset: true, Instances: []Instance{{ID: "a", HostPort: "h:1", Lifecycle: "up"}, {ID: "b", HostPort: "h:2", Lifecycle: "up"},
+	applyList(d, List{Reset: true, Instances: []Instance{
+		{ID: "a", HostPort: "h:1", Lifecycle: "up"}, {ID: "b", HostPort: "h:2", Lifecycle: "up"},
 		{ID: "c", HostPort: "h:3", Lifecycle: "up"}, {ID: "d", HostPort: "h:4", Lifecycle: "up"}}})
 	applyList(d, List{Instances: []Instance{{ID: "a", Lifecycle: "removed"}, {ID: "b", Lifecycle: "removed"}}})
 	applyList(d, List{Reset: true, Instances: []Instance{{ID: "d", HostPort: "h:4", Lifecycle: "up"}}})
 	used := func(name string, _ logic.EndpointID) bool { return name == "b" }
 	if d.RemoveExpired(time.Now(), used); len(d.idsByName) != 4 {
-		t.Errorf("forgotten at once: %v", d.idsByName)
+		t.Errorf("removed at once: left are %v", d.idsByName)
 	}
 	d.RemoveExpired(time.Now().Add(unlistedRetention+time.Second), used)
 	targets := 0
@@ -35,10 +37,10 @@
 		}
 	}
 	if len(d.idsByName) != 2 || targets != 2 || d.idsByName["b"] != 2 || d.idsByName["d"] != 4 || len(d.unlistedSince) != 1 {
-		t.Errorf("kept %v, %d targets, gone %v", d.idsByName, targets, d.unlistedSince)
+		t.Errorf("kept %v, %d targets, unlisted %v", d.idsByName, targets, d.unlistedSince)
 	}
 	if id := d.AssignID("a"); id != 5 {
-		t.Errorf("number %d is given again", id)
+		t.Errorf("number %d is assigned again", id)
 	}
 	successor := NewDirectory(nil, nil)
 	for name, id := range d.Names() {
@@ -49,56 +51,60 @@
 	}
 }
 
-// Entries that make no sense are left out, with a line in the log; the others of the list count.
+// Malformed rows are left out; the other rows of the list are applied.
 func TestDirectoryIgnoresMalformedInstances(t *testing.T) {
 	d := NewDirectory(nil, nil)
 	applyList(d, List{Reset: true, Instances: []Instance{{ID: "a", HostPort: "h:1", Destination: 1, Lifecycle: "up"}}})
-	rows, unusable := applyList(d, List{Instances: []Instance{{HostPort: "h:2", Destination: 1, Lifecycle: "up"}, {ID: "b", Destination: 1, Lifecycle: "up"},
-		{ID: "c", HostPort: "h", Lifecycle: "up"}, {ID: "d", HostPort: "h:port", Lifecycle: "up"}, {ID: "e", HostPort: ":0", Lifecycle: "up"},
-		{ID: "a", HostPort: "nonsense", Destination: 1, Lifecycle: "draining"}, {ID: "f", HostPort: "h:6", Destination: 1, Lifecycle: "up"}}})
+	rows, unusable := applyList(d, List{Instances: []Instance{
+		{HostPort: "h:2", Destination: 1, Lifecycle: "up"}, {ID: "b", Destination: 1, Lifecycle: "up"},
+		{ID: "c", HostPort: "h", Lifecycle: "up"}, {ID: "d", HostPort: "h:port", Lifecycle: "up"},
+		{ID: "e", HostPort: ":0", Lifecycle: "up"},
+		{ID: "a", HostPort: "nonsense", Destination: 1, Lifecycle: "draining"},
+		{ID: "f", HostPort: "h:6", Destination: 1, Lifecycle: "up"}}})
 	if len(rows) != 2 || unusable != 5 || len(d.idsByName) != 2 {
-		t.Errorf("%d entries taken, %d left out, names %v", len(rows), unusable, d.idsByName)
+		t.Errorf("%d rows applied, %d left out, names %v", len(rows), unusable, d.idsByName)
 	}
-	if to, _ := d.Target(d.idsByName["a"]); to.Address != "h:1" {
-		t.Errorf("a is called at %q now", to.Address)
+	if target, _ := d.Target(d.idsByName["a"]); target.Address != "h:1" {
+		t.Errorf("the address of a is now %q", target.Address)
 	}
 	if fmt.Sprint(rows[0].State, rows[1].State) != fmt.Sprint(logic.Draining, logic.Ready) {
 		t.Errorf("states %v, %v", rows[0].State, rows[1].State)
 	}
 }
 
-// Of a destination with very many endpoints the module is told of some, since it looks at each for each call; the others
-// come in as those go, however they go, and nothing that can serve is left out while there is room.
+// The decision logic gets a limited number of endpoints per destination, since it looks at each of them for each call.
+// The others replace announced ones as those go, for whatever reason, and no endpoint that is up is omitted while there
+// is room.
 func TestEndpointsPerDestinationAreLimited(t *testing.T) {
 	const all = 3 * maxAnnouncedPerDestination
 	d := NewDirectory(nil, nil)
-	module := map[logic.EndpointID]logic.Entry{}
+	announced := map[logic.EndpointID]logic.Entry{}
 	whole := List{Reset: true}
 	for i := range all {
 		whole.Instances = append(whole.Instances, Instance{ID: fmt.Sprint(i), HostPort: "h:1", Destination: 1, Lifecycle: "up"})
 	}
 	whole.Instances = append(whole.Instances, Instance{ID: "other", HostPort: "h:1", Destination: 2, Lifecycle: "up"})
-	check := func(what string, l List, wantUp, wantOmitted int) {
+	check := func(step string, l List, wantUp, wantOmitted int) {
 		t.Helper()
 		u := d.Diff(l)
 		for _, row := range d.Apply(&u, time.Now()) {
 			if row.State == logic.Removed {
-				delete(module, row.Endpoint)
+				delete(announced, row.Endpoint)
 			} else {
-				module[row.Endpoint] = row
+				announced[row.Endpoint] = row
 			}
 		}
 		ready, other := 0, 0
-		for _, row := range module {
+		for _, row := range announced {
 			if row.Destination == 2 {
 				other++
 			} else if row.State == logic.Ready {
 				ready++
 			}
 		}
-		if ready != wantUp || other != 1 || u.OmittedEndpoints != wantOmitted || len(d.Entries()) != len(module) {
-			t.Errorf("%s: the module has %d (%d of another), %d omitted, %d entries of %d", what, ready, other, u.OmittedEndpoints,
-				len(d.Entries()), len(module))
+		if ready != wantUp || other != 1 || u.OmittedEndpoints != wantOmitted || len(d.Entries()) != len(announced) {
+			t.Errorf("%s: %d announced (%d of another destination), %d omitted, %d entries of %d", step, ready, other,
+				u.OmittedEndpoints, len(d.Entries()), len(announced))
 		}
 	}
 	part := func(from, to int, lifecycle string) List {
@@ -111,22 +117,27 @@
 	}
 	check("all", whole, maxAnnouncedPerDestination, all-maxAnnouncedPerDestination)
 	check("again", whole, maxAnnouncedPerDestination, all-maxAnnouncedPerDestination)
-	check("a third drains", part(0, maxAnnouncedPerDestination, "draining"), maxAnnouncedPerDestination, all-2*maxAnnouncedPerDestination)
-	check("and is up again", part(0, maxAnnouncedPerDestination, "up"), maxAnnouncedPerDestination, all-maxAnnouncedPerDestination)
+	check("a third drains", part(0, maxAnnouncedPerDestination, "draining"),
+		maxAnnouncedPerDestination, all-2*maxAnnouncedPerDestination)
+	check("and is up again", part(0, maxAnnouncedPerDestination, "up"),
+		maxAnnouncedPerDestination, all-maxAnnouncedPerDestination)
 	check("two thirds go", part(0, 2*maxAnnouncedPerDestination, "removed"), maxAnnouncedPerDestination, 0)
-	check("and some more", part(2*maxAnnouncedPerDestination, 2*maxAnnouncedPerDestination+10, "removed"), maxAnnouncedPerDestination-10, 0)
+	check("and some more", part(2*maxAnnouncedPerDestination, 2*maxAnnouncedPerDestination+10, "removed"),
+		maxAnnouncedPerDestination-10, 0)
 	check("all are back", whole, maxAnnouncedPerDestination, all-maxAnnouncedPerDestination)
 	moved := part(0, all, "up")
 	for i := range moved.Instances {
 		moved.Instances[i].Destination = int64(3 + i)
 	}
 	u := d.Diff(moved)
-	if d.Apply(&u, time.Now()); u.OmittedEndpoints != 0 || len(d.Entries()) != all+1 || len(d.announcedUpCounts) != all+1 || len(d.omittedByDestination) != 0 {
-		t.Errorf("each of its own: %d omitted, %d entries, %d destinations", u.OmittedEndpoints, len(d.Entries()), len(d.announcedUpCounts))
+	if d.Apply(&u, time.Now()); u.OmittedEndpoints != 0 || len(d.Entries()) != all+1 ||
+		len(d.announcedUpCounts) != all+1 || len(d.omittedByDestination) != 0 {
+		t.Errorf("one destination each: %d omitted, %d entries, %d destinations", u.OmittedEndpoints,
+			len(d.Entries()), len(d.announcedUpCounts))
 	}
 }
 
-// Lists that name all endpoints anew, again and again, do not fill the memory with names that are gone.
+// Lists that rename all endpoints again and again do not fill the memory with old names.
 func TestUnlistedNamesDoNotAccumulate(t *testing.T) {
 	d := NewDirectory(nil, nil)
 	now := time.Now()
@@ -134,7 +145,8 @@
 	for i := range 40 {
 		l := List{Reset: true}
 		for k := range listed {
-			l.Instances = append(l.Instances, Instance{ID: fmt.Sprint(i, ".", k), HostPort: "h:1", Destination: int64(k), Lifecycle: "up"})
+			l.Instances = append(l.Instances, Instance{ID: fmt.Sprint(i, ".", k), HostPort: "h:1",
+				Destination: int64(k), Lifecycle: "up"})
 		}
 		u := d.Diff(l)
 		d.Apply(&u, now)
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// eventTimeout bounds every wait for an event: it is not reached unless a test fails.
+// eventTimeout bounds every wait for an event. Only a failing test reaches it.
 const eventTimeout = 20 * time.Second
 
 // awaitValue returns the next value of ch.
@@ -35,47 +35,47 @@
 	panic("unreachable")
 }
 
-// fakeDiscovery stands for discovery: it serves what a test sets.
+// fakeDiscovery is a discovery that serves the list that a test sets.
 type fakeDiscovery struct {
 	server          *httptest.Server
-	queries         chan string // query of each call
+	queries         chan string // the query of each call
 	mu              sync.Mutex
 	list            List
 	changed         chan struct{} // closed when the list changes
-	nextAnswerDelay time.Duration // of its answer to the next call
+	nextAnswerDelay time.Duration // delay of the answer to the next call
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
 	t.Helper()
-	p := &fakeDiscovery{queries: make(chan string, 1024), changed: make(chan struct{})}
-	p.server = httptest.NewServer(http.HandlerFunc(p.serveHosts))
-	t.Cleanup(func() { p.server.CloseClientConnections(); p.server.Close() })
-	return p
+	d := &fakeDiscovery{queries: make(chan string, 1024), changed: make(chan struct{})}
+	d.server = httptest.NewServer(http.HandlerFunc(d.serveHosts))
+	t.Cleanup(func() { d.server.CloseClientConnections(); d.server.Close() })
+	return d
 }
 
-func (p *fakeDiscovery) update(f func()) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (d *fakeDiscovery) update(f func()) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	f()
-	close(p.changed)
-	p.changed = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-func (p *fakeDiscovery) serveHosts(w http.ResponseWriter, r *http.Request) {
-	p.queries <- r.URL.RawQuery
+func (d *fakeDiscovery) serveHosts(w http.ResponseWriter, r *http.Request) {
+	d.queries <- r.URL.RawQuery
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	hold, _ := strconv.ParseInt(r.URL.Query().Get("hold_ms"), 10, 64)
-	p.mu.Lock()
-	late := p.nextAnswerDelay
-	p.nextAnswerDelay = 0
-	p.mu.Unlock()
-	time.Sleep(late)
-	over := time.NewTimer(time.Duration(hold) * time.Millisecond)
-	defer over.Stop()
+	d.mu.Lock()
+	delay := d.nextAnswerDelay
+	d.nextAnswerDelay = 0
+	d.mu.Unlock()
+	time.Sleep(delay)
+	holdTimer := time.NewTimer(time.Duration(hold) * time.Millisecond)
+	defer holdTimer.Stop()
 	for {
-		p.mu.Lock()
-		list, news := p.list, p.changed
-		p.mu.Unlock()
+		d.mu.Lock()
+		list, changed := d.list, d.changed
+		d.mu.Unlock()
 		if list.Generation > from {
 			text, err := json.Marshal(list)
 			if err != nil {
@@ -85,8 +85,8 @@
 			return
 		}
 		select {
-		case <-news:
-		case <-over.C:
+		case <-changed:
+		case <-holdTimer.C:
 			fmt.Fprintf(w, `{"generation":%d,"reset":false,"instances":[]}`, list.Generation)
 			return
 		case <-r.Context().Done():
@@ -95,12 +95,14 @@
 	}
 }
 
-// newTestClient is a client of an empty directory.
-func newTestClient(addr string, senders int, grace time.Duration, seed uint64, log *slog.Logger, events chan<- any) *Client {
-	return NewClient(Config{Addr: addr, Senders: senders, DrainGrace: grace, Seed: seed, Directory: NewDirectory(nil, nil), Log: log}, events)
+// newTestClient returns a client with an empty directory.
+func newTestClient(addr string, senders int, grace time.Duration, seed uint64, log *slog.Logger,
+	events chan<- any) *Client {
+	return NewClient(Config{Addr: addr, Senders: senders, DrainGrace: grace, Seed: seed,
+		Directory: NewDirectory(nil, nil), Log: log}, events)
 }
 
-// awaitEvent takes the next event as the loop does, but applies nothing.
+// awaitEvent receives the next event and acknowledges it without applying the update.
 func awaitEvent(t *testing.T, events <-chan any, what string) Event {
 	t.Helper()
 	ev := awaitValue(t, events, what).(Event)
@@ -110,82 +112,85 @@
 	return ev
 }
 
-// virtualTimeTest runs a test on virtual time with a client, whose list is at generation 5, and a discovery in memory, whose
-// every call serve answers with raw bytes; then the connection ends. The events are acknowledged and kept.
+// virtualTimeTest is the state of a test on virtual time: a client whose list is at generation 5, and a discovery in
+// memory.
 type virtualTimeTest struct {
 	*Client
 	t          *testing.T
 	log        *logBuffer
 	events     chan any
 	startedAt  time.Time
-	startWatch func() // once more, after a watch has ended
+	startWatch func() // starts another watch, after the last one has ended
 	mu         sync.Mutex
-	callTimes  []time.Duration // when each call came
+	callTimes  []time.Duration // when each call arrived
 	queries    []string
 }
 
-func runOnVirtualTime(t *testing.T, maxBytes int64, serve func(b *virtualTimeTest, w io.Writer), test func(b *virtualTimeTest), with ...func(*Client)) {
+// runOnVirtualTime runs a test on virtual time. serve answers each call with raw bytes; then its connection is closed.
+// options change the client before the first watch starts.
+func runOnVirtualTime(t *testing.T, maxBytes int64, serve func(vt *virtualTimeTest, w io.Writer),
+	test func(vt *virtualTimeTest), options ...func(*Client)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		var served, watches sync.WaitGroup
-		var dialing sync.Mutex
-		over := false // the transport may dial for a call that has been called off
-		b := &virtualTimeTest{t: t, log: &logBuffer{}, events: make(chan any, 1024), startedAt: time.Now()}
-		b.Client = NewClient(Config{Addr: "discovery:1", Senders: 1, Seed: 5, MaxAnswerBytes: maxBytes, Directory: NewDirectory(nil, nil),
-			Log: slog.New(slog.NewTextHandler(b.log, nil)),
+		var servers, watches sync.WaitGroup
+		var dialMu sync.Mutex
+		closed := false // the transport may still dial for a canceled call
+		vt := &virtualTimeTest{t: t, log: &logBuffer{}, events: make(chan any, 1024), startedAt: time.Now()}
+		vt.Client = NewClient(Config{Addr: "discovery:1", Senders: 1, Seed: 5, MaxAnswerBytes: maxBytes,
+			Directory: NewDirectory(nil, nil), Log: slog.New(slog.NewTextHandler(vt.log, nil)),
 			Dial: func(context.Context, string, string) (net.Conn, error) {
-				dialing.Lock()
-				defer dialing.Unlock()
-				if over {
+				dialMu.Lock()
+				defer dialMu.Unlock()
+				if closed {
 					return nil, net.ErrClosed
 				}
 				ours, theirs := net.Pipe()
-				served.Go(func() {
+				servers.Go(func() {
 					defer theirs.Close()
 					req, err := http.ReadRequest(bufio.NewReader(theirs))
 					if err != nil {
 						return
 					}
-					b.mu.Lock()
-					b.callTimes, b.queries = append(b.callTimes, time.Since(b.startedAt)), append(b.queries, req.URL.RawQuery)
-					b.mu.Unlock()
-					serve(b, theirs)
+					vt.mu.Lock()
+					vt.callTimes, vt.queries = append(vt.callTimes, time.Since(vt.startedAt)), append(vt.queries, req.URL.RawQuery)
+					vt.mu.Unlock()
+					serve(vt, theirs)
 				})
 				return ours, nil
-			}}, b.events)
-		b.SetInitialState(5, true)
-		for _, f := range with {
-			f(b.Client)
+			}}, vt.events)
+		vt.SetInitialState(5, true)
+		for _, f := range options {
+			f(vt.Client)
 		}
 		ctx, stop := context.WithCancel(t.Context())
-		b.startWatch = func() { watches.Go(func() { b.Watch(ctx) }) }
-		b.startWatch()
-		test(b)
+		vt.startWatch = func() { watches.Go(func() { vt.Watch(ctx) }) }
+		vt.startWatch()
+		test(vt)
 		stop()
 		watches.Wait()
-		dialing.Lock()
-		over = true
-		dialing.Unlock()
-		served.Wait()
-		b.httpClient.CloseIdleConnections()
+		dialMu.Lock()
+		closed = true
+		dialMu.Unlock()
+		servers.Wait()
+		vt.httpClient.CloseIdleConnections()
 	})
 }
 
-// calls is the number of calls so far, and when the last one came.
-func (b *virtualTimeTest) calls() (int, time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.callTimes) == 0 {
+// calls returns the number of calls so far, and when the last one arrived.
+func (vt *virtualTimeTest) calls() (int, time.Duration) {
+	vt.mu.Lock()
+	defer vt.mu.Unlock()
+	if len(vt.callTimes) == 0 {
 		return 0, 0
 	}
-	return len(b.callTimes), b.callTimes[len(b.callTimes)-1]
+	return len(vt.callTimes), vt.callTimes[len(vt.callTimes)-1]
 }
 
-// nextEvent is the next event; nil if there is none by then.
-func (b *virtualTimeTest) nextEvent(within time.Duration) *Event {
+// nextEvent returns the next event and acknowledges it; nil if there is none within the given time.
+func (vt *virtualTimeTest) nextEvent(within time.Duration) *Event {
 	select {
-	case x := <-b.events:
-		ev := x.(Event)
+	case received := <-vt.events:
+		ev := received.(Event)
 		if ev.Done != nil {
 			ev.Done()
 		}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,9 +1,11 @@
+// This file holds the types of discovery's answers (List, Instance) and of what they change in the directory (Update).
+
 package discovery
 
-// List is discovery's answer.
+// List is an answer of discovery: the whole list, or the instances that changed since a generation.
 type List struct {
-	Generation int64      `json:"generation"`
-	Reset      bool       `json:"reset"` // the whole list
+	Generation int64      `json:"generation"` // version of the list; rises with each change
+	Reset      bool       `json:"reset"`      // the answer is the whole list
 	Instances  []Instance `json:"instances"`
 }
 
@@ -14,17 +16,19 @@
 	Zone        string  `json:"zone"`
 	Kind        string  `json:"machineType"`
 	Destination int64   `json:"cell"`
-	Lifecycle   string  `json:"lifecycle"` // up, draining or removed; anything else is taken for draining
-	Weight      float64 `json:"weight"`    // calls a second that the destination takes, where the settings say so
+	Lifecycle   string  `json:"lifecycle"` // up, draining or removed; any other value counts as draining
+	Weight      float64 `json:"weight"`    // calls per second that the destination accepts, where the settings say so
 }
 
-// Update is an answer of discovery, reduced to what differs from the directory. It is to be applied before the next
-// answer is compared.
+// Update is an answer of discovery, reduced to the rows that differ from the directory. It has to be applied to the
+// directory before the next answer is compared with it.
 type Update struct {
-	Generation       int64
-	Whole            bool       // the answer was a whole list
-	Rows             []Instance // what the list no longer has comes first, as removed
-	UnusableRows     int        // rows of the answer that made no sense; what they name stays as it was
-	DuplicateRows    int        // rows of the answer with the id of an earlier one, which they replace
-	OmittedEndpoints int        // set by Apply: listed endpoints that the module is not told of, as their destinations have so many
+	Generation    int64
+	Whole         bool       // the answer was a whole list
+	Rows          []Instance // endpoints that are missing from a whole list come first, as removed
+	UnusableRows  int        // malformed rows of the answer; the endpoints they name stay unchanged
+	DuplicateRows int        // rows of the answer that repeat the id of an earlier row, which they replace
+	// Set by Apply: the number of listed endpoints that the decision logic does not get, as their destinations have too
+	// many.
+	OmittedEndpoints int
 }
--- a/internal/discovery/store.go
+++ b/internal/discovery/store.go
@@ -1,3 +1,12 @@
+// This file keeps the list on disk, so that a restarted process starts with it and asks discovery only for changes.
+//
+// The file is a write-ahead log in the framing of internal/wal. The first byte of a record's body is its kind; numbers
+// are little endian. The file begins with a snapshot of a whole list: a header record, chunks of rows and an end
+// record. Updates follow, each with a higher generation than the one before. A snapshot that is not whole makes the
+// file unusable. The updates may have a torn end, as a process that dies during a write leaves it: a record that is
+// truncated, has a wrong checksum, can't be decoded or has no higher generation. It is cut off, with all that follows
+// it, and the list is the one at the last whole update.
+
 package discovery
 
 import (
@@ -19,24 +28,23 @@
 	"crossdeal/internal/wal"
 )
 
-// The file is a write-ahead log in internal/wal's framing. The first byte of a record's body is its kind; numbers are
-// little endian. It begins with a snapshot - a header, chunks, an end - and goes on with updates.
+// Kinds of records.
 const (
-	recordHeader           byte = iota + 1 // header as JSON
+	recordHeader           byte = iota + 1 // a snapshotHeader as JSON
 	recordChunk                            // uint32 count of rows, then the rows as a JSON array, compressed (DEFLATE)
-	recordEnd                              // end as JSON
+	recordEnd                              // a snapshotEnd as JSON
 	recordUpdate                           // uint64 generation, uint32 count of rows, then the rows as a JSON array
-	recordCompressedUpdate                 // the same, the rows compressed
+	recordCompressedUpdate                 // the same with the rows compressed (DEFLATE)
 )
 
-// snapshotHeader begins a snapshot.
+// snapshotHeader is the first record of a snapshot.
 type snapshotHeader struct {
 	FormatVersion int    `json:"form"`
 	Origin        string `json:"origin"` // the address that the list came from
 	Generation    int64  `json:"generation"`
 }
 
-// snapshotEnd closes a snapshot: without it the snapshot is not whole.
+// snapshotEnd is the last record of a snapshot. A snapshot without it is not whole.
 type snapshotEnd struct {
 	RowCount   int   `json:"count"`
 	Generation int64 `json:"generation"`
@@ -46,42 +54,42 @@
 	storeFileName         = "list"
 	storeFormatVersion    = 1
 	maxChunkRows          = 512
-	fullChunkBytes        = 64 << 10 // of JSON, from which on a chunk is closed
-	maxRecordBodyBytes    = 1 << 20  // body of a record, bytes
-	maxRowsJSONBytes      = 4 << 20  // JSON of the rows of a record, bytes
-	minCompressBytes      = 4 << 10  // JSON of an update, from which on it is compressed, bytes
-	minReplaceUpdateBytes = 8 << 10  // updates that are no reason for a rewrite, bytes
-	fileBlockBytes        = 512      // files are counted in whole blocks
+	fullChunkBytes        = 64 << 10 // a chunk is closed when its rows take this much JSON
+	maxRecordBodyBytes    = 1 << 20
+	maxRowsJSONBytes      = 4 << 20 // of the rows of one record
+	minCompressBytes      = 4 << 10 // an update is compressed when its rows take this much JSON
+	minReplaceUpdateBytes = 8 << 10 // a rewrite is not due while the updates take no more than this
+	fileBlockBytes        = 512     // the size of a file is counted in whole blocks
 	storeNewSuffix        = ".new"
 )
 
 var (
 	errNoRoom              = errors.New("no room for the saved list on disk")
 	errRecordTooLarge      = errors.New("too large for a record")
-	errMissingUpdates      = errors.New("the saved list lacks earlier changes, a whole one is due")
-	errGenerationNotHigher = errors.New("generation does not rise")
+	errMissingUpdates      = errors.New("the saved list is missing earlier updates; the whole list has to be saved")
+	errGenerationNotHigher = errors.New("generation is not higher")
 
-	errUnknownFormat = errors.New("saved list: unknown form")
+	errUnknownFormat = errors.New("saved list: unknown format")
 	errNoHeader      = errors.New("saved list: no header")
 	errNoEnd         = errors.New("saved list: no end record")
 	errCountMismatch = errors.New("saved list: wrong count")
 	errBadRecord     = errors.New("saved list: bad record")
-	errTooOld        = errors.New("saved list: older than asked for")
+	errTooOld        = errors.New("saved list: older than requested")
 	errNoSavedList   = fmt.Errorf("saved list: none: %w", fs.ErrNotExist)
 )
 
-// SavedInfo says what a saved list is.
+// SavedInfo describes a saved list.
 type SavedInfo struct {
 	Origin     string // the address that the list came from, host:port
 	Generation int64  // of its last update
-	RowCount   int    // rows that Load hands out: those of the snapshot and those of all updates
+	RowCount   int    // rows of the snapshot and of all updates, which Load passes on
 }
 
 // Store keeps the list of endpoints in the file "list" of a folder, as a snapshot followed by updates, so that a
-// restarted sender asks for changes only. While the snapshot is rewritten a second file stands beside it, "list.new".
-// What is written outlasts the process; nothing is synced.
+// restarted sender asks only for changes. While the snapshot is rewritten there is a second file, "list.new". Written
+// data outlasts the process, but not necessarily the machine: the files are not synced.
 //
-// One process at a time may use a folder. A store is safe for concurrent use; a call waits for one that is under way.
+// Only one process at a time may use a folder. A store is safe for concurrent use; its calls run one after the other.
 type Store struct {
 	dir         string
 	budgetBytes int64
@@ -92,17 +100,17 @@
 	hasList       bool  // the file holds a whole list
 	loadErr       error // why it does not
 	saved         SavedInfo
-	snapshotBytes int64       // bytes of the snapshot
-	fileBytes     int64       // bytes of the file
-	fileInfo      os.FileInfo // of the file, as it was when this process read or wrote it as a whole
-	accessed      bool        // something was loaded or replaced since the start
-	upToDate      bool        // what is told next follows what the file holds; otherwise an update would stand behind a gap
-	hasTornEnd    bool        // it has a bad end that could not be cut off
+	snapshotBytes int64
+	fileBytes     int64
+	fileInfo      os.FileInfo // of the file when this process last read or wrote it as a whole
+	accessed      bool        // the list was loaded or replaced since the process started
+	upToDate      bool        // the file holds all updates so far; otherwise the next one would leave a gap
+	hasTornEnd    bool        // the file has a torn end that could not be cut off
 }
 
-// OpenStore returns the store in dir. Its files together, each counted in whole 512 bytes, stay within budget bytes at
-// every moment; with a budget of 0 it keeps nothing and leaves the disk alone. The files are first touched when the
-// store is first used. The log gets what is mended without anyone's doing: a torn end that is cut off, say.
+// OpenStore returns the store in dir. The total size of its files, each rounded up to whole blocks of 512 bytes, stays
+// within budget bytes at all times; with a budget of 0 it saves nothing and does not access the disk. The files are
+// first accessed when the store is first used. Repairs, such as cutting off a torn end, are logged to log.
 func OpenStore(dir string, budget int64, log *slog.Logger) *Store {
 	return &Store{dir: dir, budgetBytes: budget, log: log}
 }
@@ -110,28 +118,29 @@
 func (s *Store) path() string    { return filepath.Join(s.dir, storeFileName) }
 func (s *Store) newPath() string { return s.path() + storeNewSuffix }
 
-// roundUpToBlocks is what a file of that size counts.
+// roundUpToBlocks returns the size of a file as it counts against the budget.
 func roundUpToBlocks(size int64) int64 {
 	return (size + fileBlockBytes - 1) / fileBlockBytes * fileBlockBytes
 }
 
-// fitsBudget says whether the two files may have those sizes.
+// fitsBudget reports whether the two files may have these sizes.
 func (s *Store) fitsBudget(size, newSize int64) bool {
 	return roundUpToBlocks(size)+roundUpToBlocks(newSize) <= s.budgetBytes
 }
 
-// open looks at what an earlier process has left.
+// open checks the files of an earlier process, on the first use of the store.
 func (s *Store) open() {
 	if s.opened || s.budgetBytes <= 0 {
 		return
 	}
 	s.opened = true
 	if err := removeIfExists(s.newPath()); err != nil {
-		s.log.Warn("saved list: unfinished copy", "err", err)
+		s.log.Warn("saved list: cannot remove an unfinished copy", "err", err)
 	}
 	if info, err := os.Stat(s.path()); err == nil && !s.fitsBudget(info.Size(), 0) {
 		err := removeIfExists(s.path())
-		s.log.Warn("saved list: over its budget, removed", "bytes", info.Size(), "budget", s.budgetBytes, "err", err)
+		s.log.Warn("saved list: larger than the budget; removing it", "bytes", info.Size(),
+			"budget", s.budgetBytes, "err", err)
 	}
 	s.loadErr = s.scanFile()
 	s.hasList = s.loadErr == nil
@@ -144,7 +153,7 @@
 	return nil
 }
 
-// scanFile checks the file as a whole without decoding its rows, and cuts off what is behind the last whole update.
+// scanFile checks the whole file without decoding its rows, and cuts off a torn end after the last whole update.
 func (s *Store) scanFile() error {
 	f, err := os.OpenFile(s.path(), os.O_RDWR, 0)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -163,7 +172,7 @@
 		return err
 	}
 	s.snapshotBytes = r.Offset()
-	whole := s.snapshotBytes
+	wholeBytes := s.snapshotBytes
 	for {
 		body, err := r.Next()
 		if err == io.EOF {
@@ -179,16 +188,16 @@
 			err = fmt.Errorf("%w: from %d to %d", errGenerationNotHigher, s.saved.Generation, u.generation)
 		}
 		if err != nil {
-			s.truncateAfter(f, whole, err)
+			s.truncateAfter(f, wholeBytes, err)
 			return nil
 		}
 		s.saved.Generation = u.generation
 		s.saved.RowCount += u.rowCount
-		whole = r.Offset()
+		wholeBytes = r.Offset()
 	}
 }
 
-// scanSnapshot reads up to the end record and says what the snapshot is.
+// scanSnapshot reads up to the end record and describes the snapshot.
 func scanSnapshot(r *wal.Reader) (SavedInfo, error) {
 	var saved SavedInfo
 	next := func() ([]byte, error) {
@@ -207,14 +216,14 @@
 	if err != nil {
 		return saved, err
 	}
-	var head snapshotHeader
-	if body[0] != recordHeader || json.Unmarshal(body[1:], &head) != nil {
+	var header snapshotHeader
+	if body[0] != recordHeader || json.Unmarshal(body[1:], &header) != nil {
 		return saved, errNoHeader
 	}
-	if head.FormatVersion != storeFormatVersion {
-		return saved, fmt.Errorf("%w: %d", errUnknownFormat, head.FormatVersion)
+	if header.FormatVersion != storeFormatVersion {
+		return saved, fmt.Errorf("%w: %d", errUnknownFormat, header.FormatVersion)
 	}
-	saved.Origin, saved.Generation = head.Origin, head.Generation
+	saved.Origin, saved.Generation = header.Origin, header.Generation
 	for {
 		if body, err = next(); err != nil {
 			return saved, err
@@ -227,13 +236,13 @@
 			}
 			saved.RowCount += n
 		case recordEnd:
-			var e snapshotEnd
-			if err := json.Unmarshal(body[1:], &e); err != nil {
+			var end snapshotEnd
+			if err := json.Unmarshal(body[1:], &end); err != nil {
 				return saved, fmt.Errorf("%w: end: %w", errBadRecord, err)
 			}
-			if e.RowCount != saved.RowCount || e.Generation != saved.Generation {
-				return saved, fmt.Errorf("%w: %d rows at generation %d, but %d at %d were to come", errCountMismatch,
-					saved.RowCount, saved.Generation, e.RowCount, e.Generation)
+			if end.RowCount != saved.RowCount || end.Generation != saved.Generation {
+				return saved, fmt.Errorf("%w: %d rows at generation %d, but the end record says %d at %d", errCountMismatch,
+					saved.RowCount, saved.Generation, end.RowCount, end.Generation)
 			}
 			return saved, nil
 		default:
@@ -242,15 +251,15 @@
 	}
 }
 
-// parseChunk takes the body of a chunk apart.
-func parseChunk(body []byte) (count int, packed []byte, err error) {
+// parseChunk parses the body of a chunk.
+func parseChunk(body []byte) (count int, compressed []byte, err error) {
 	if len(body) < 5 {
 		return 0, nil, fmt.Errorf("%w: chunk of %d bytes", errBadRecord, len(body))
 	}
 	return int(binary.LittleEndian.Uint32(body[1:])), body[5:], nil
 }
 
-// updateRecord is the body of an update, taken apart.
+// updateRecord is the parsed body of an update.
 type updateRecord struct {
 	generation int64
 	rowCount   int
@@ -262,22 +271,22 @@
 
 func parseUpdate(body []byte) (updateRecord, error) {
 	if body[0] != recordUpdate && body[0] != recordCompressedUpdate || len(body) < updateHeaderBytes {
-		return updateRecord{}, fmt.Errorf("%w: kind %d, %d bytes among the updates", errBadRecord, body[0], len(body))
+		return updateRecord{}, fmt.Errorf("%w: kind %d with %d bytes among the updates", errBadRecord, body[0], len(body))
 	}
-	return updateRecord{int64(binary.LittleEndian.Uint64(body[1:])), int(binary.LittleEndian.Uint32(body[9:])), body[updateHeaderBytes:],
-		body[0] == recordCompressedUpdate}, nil
+	return updateRecord{int64(binary.LittleEndian.Uint64(body[1:])), int(binary.LittleEndian.Uint32(body[9:])),
+		body[updateHeaderBytes:], body[0] == recordCompressedUpdate}, nil
 }
 
-// truncateAfter drops what is behind the last whole update.
-func (s *Store) truncateAfter(f *os.File, whole int64, why error) {
-	err := f.Truncate(whole)
-	s.log.Warn("saved list: cut behind the last whole update", "why", why, "bytes", s.fileBytes-whole,
+// truncateAfter cuts off what follows the last whole update.
+func (s *Store) truncateAfter(f *os.File, wholeBytes int64, cause error) {
+	err := f.Truncate(wholeBytes)
+	s.log.Warn("saved list: cut behind the last whole update", "why", cause, "bytes", s.fileBytes-wholeBytes,
 		"generation", s.saved.Generation, "err", err)
-	s.fileBytes = whole
-	s.hasTornEnd = err != nil // nothing may be appended to it
+	s.fileBytes = wholeBytes
+	s.hasTornEnd = err != nil // nothing may be appended after it
 }
 
-// Peek says what Load would hand out, with the same errors, without reading the rows.
+// Peek describes the list that Load would read, with the same errors, without decoding the rows.
 func (s *Store) Peek() (SavedInfo, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -295,126 +304,127 @@
 	return SavedInfo{}, errNoSavedList
 }
 
-// Load hands out the saved list: the rows of the snapshot, some hundreds at a time, and then those of each later update
-// in order, gone ones as Lifecycle "removed". The rows stand after each returns.
+// Load reads the saved list and passes it to handle: the rows of the snapshot, a few hundred at a time, and then the
+// rows of each later update in order, with Lifecycle "removed" for endpoints that are gone. handle may keep the rows.
 //
-// The file is checked before the first row is handed out. One that is not whole is refused: the error says why, and is
-// fs.ErrNotExist (wrapped) where nothing is saved. A bad end among the updates is no error: it is cut off, and what
-// stands before it is the list at the generation that Load returns. On an error, each's included, the caller drops what
-// it was given, and nothing can be appended until Replace. A process loads at its start: later calls only show the list.
-func (s *Store) Load(each func([]Instance) error) (SavedInfo, error) {
-	return s.LoadAtLeast(math.MinInt64, each)
+// The file is checked before the first row is passed on. One whose snapshot is not whole is rejected: the error says
+// why, and is fs.ErrNotExist (wrapped) if nothing is saved. A torn end among the updates is not an error: it is cut
+// off, and the rest is the list at the generation that Load returns. On an error, including one of handle, the caller
+// has to drop the rows that it was given, and nothing can be appended until Replace. A process loads the list at its
+// start; later calls only show it.
+func (s *Store) Load(handle func([]Instance) error) (SavedInfo, error) {
+	return s.LoadAtLeast(math.MinInt64, handle)
 }
 
-// LoadAtLeast is Load, but a list that is older than a generation is refused. Its file stays.
-func (s *Store) LoadAtLeast(generation int64, each func([]Instance) error) (SavedInfo, error) {
+// LoadAtLeast is like Load, but rejects a list that is older than a generation. The file is kept.
+func (s *Store) LoadAtLeast(generation int64, handle func([]Instance) error) (SavedInfo, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	saved, err := s.peek()
 	if err != nil {
 		return SavedInfo{}, err
 	}
-	first := !s.accessed
+	firstAccess := !s.accessed
 	s.accessed = true
 	if saved.Generation >= generation {
-		saved, err = s.readRows(each)
+		saved, err = s.readRows(handle)
 	}
-	if err == nil && saved.Generation < generation { // perhaps only since a bad end was cut off
-		err = fmt.Errorf("%w: generation %d, not %d", errTooOld, saved.Generation, generation)
+	if err == nil && saved.Generation < generation { // possibly because a torn end was cut off just now
+		err = fmt.Errorf("%w: generation %d, want %d", errTooOld, saved.Generation, generation)
 	}
 	if err != nil {
 		s.upToDate = false
 		return SavedInfo{}, err
 	}
-	s.upToDate = (s.upToDate || first) && !s.hasTornEnd // one that lags behind what was told since still does
+	s.upToDate = (s.upToDate || firstAccess) && !s.hasTornEnd // a file that was missing updates still is
 	return saved, nil
 }
 
-// readRows decodes the rows and hands them on.
-func (s *Store) readRows(each func([]Instance) error) (SavedInfo, error) {
+// readRows decodes the rows and passes them to handle.
+func (s *Store) readRows(handle func([]Instance) error) (SavedInfo, error) {
 	f, err := os.OpenFile(s.path(), os.O_RDWR, 0)
 	if err != nil {
 		return SavedInfo{}, fmt.Errorf("saved list: %w", err)
 	}
 	defer f.Close()
 	r := wal.NewReader(io.LimitReader(f, s.fileBytes), maxRecordBodyBytes)
-	var d rowDecoder
-	sofar := SavedInfo{Origin: s.saved.Origin}
-	for whole := int64(0); whole < s.fileBytes; whole = r.Offset() {
+	var decoder rowDecoder
+	loaded := SavedInfo{Origin: s.saved.Origin}
+	for wholeBytes := int64(0); wholeBytes < s.fileBytes; wholeBytes = r.Offset() {
 		body, err := r.Next()
 		if err != nil {
-			return SavedInfo{}, fmt.Errorf("saved list, after it was checked: %w", err)
+			return SavedInfo{}, fmt.Errorf("saved list: reading it after the check: %w", err)
 		}
 		var rows []Instance
 		switch body[0] {
 		case recordHeader:
 		case recordChunk:
-			n, packed, err := parseChunk(body)
+			n, compressed, err := parseChunk(body)
 			if err == nil {
-				rows, err = d.decode(packed, true, n)
+				rows, err = decoder.decode(compressed, true, n)
 			}
 			if err != nil {
 				s.hasList, s.loadErr = false, err
 				return SavedInfo{}, err
 			}
 		case recordEnd:
-			var e snapshotEnd
-			if err := json.Unmarshal(body[1:], &e); err != nil {
+			var end snapshotEnd
+			if err := json.Unmarshal(body[1:], &end); err != nil {
 				return SavedInfo{}, fmt.Errorf("%w: end: %w", errBadRecord, err)
 			}
-			sofar.Generation = e.Generation
+			loaded.Generation = end.Generation
 		default:
 			u, err := parseUpdate(body)
 			if err == nil {
-				rows, err = d.decode(u.rowsData, u.compressed, u.rowCount)
+				rows, err = decoder.decode(u.rowsData, u.compressed, u.rowCount)
 			}
 			if err != nil {
-				s.saved = sofar
-				s.truncateAfter(f, whole, err)
-				return sofar, nil
+				s.saved = loaded
+				s.truncateAfter(f, wholeBytes, err)
+				return loaded, nil
 			}
-			sofar.Generation = u.generation
+			loaded.Generation = u.generation
 		}
 		if len(rows) == 0 {
 			continue
 		}
-		if err := each(rows); err != nil {
+		if err := handle(rows); err != nil {
 			return SavedInfo{}, err
 		}
-		sofar.RowCount += len(rows)
+		loaded.RowCount += len(rows)
 	}
-	return sofar, nil
+	return loaded, nil
 }
 
-// rowDecoder takes compressed rows apart.
+// rowDecoder decodes the rows of records.
 type rowDecoder struct {
 	decompressor io.ReadCloser
 	rowsJSON     bytes.Buffer
 }
 
-// decode decodes the rows of a record, of which there must be n.
-func (d *rowDecoder) decode(text []byte, packed bool, n int) ([]Instance, error) {
-	if packed {
+// decode decodes the rows of a record, of which there must be count.
+func (d *rowDecoder) decode(rowsJSON []byte, compressed bool, count int) ([]Instance, error) {
+	if compressed {
 		var err error
-		if text, err = d.decompress(text); err != nil {
+		if rowsJSON, err = d.decompress(rowsJSON); err != nil {
 			return nil, fmt.Errorf("%w: %w", errBadRecord, err)
 		}
 	}
 	var rows []Instance
-	if err := json.Unmarshal(text, &rows); err != nil {
+	if err := json.Unmarshal(rowsJSON, &rows); err != nil {
 		return nil, fmt.Errorf("%w: %w", errBadRecord, err)
 	}
-	if len(rows) != n {
-		return nil, fmt.Errorf("%w: %d rows in a record of %d", errCountMismatch, len(rows), n)
+	if len(rows) != count {
+		return nil, fmt.Errorf("%w: %d rows in a record of %d", errCountMismatch, len(rows), count)
 	}
 	return rows, nil
 }
 
-func (d *rowDecoder) decompress(packed []byte) ([]byte, error) {
-	in := bytes.NewReader(packed)
+func (d *rowDecoder) decompress(compressed []byte) ([]byte, error) {
+	input := bytes.NewReader(compressed)
 	if d.decompressor == nil {
-		d.decompressor = flate.NewReader(in)
-	} else if err := d.decompressor.(flate.Resetter).Reset(in, nil); err != nil {
+		d.decompressor = flate.NewReader(input)
+	} else if err := d.decompressor.(flate.Resetter).Reset(input, nil); err != nil {
 		return nil, err
 	}
 	d.rowsJSON.Reset()
@@ -427,35 +437,35 @@
 	return d.rowsJSON.Bytes(), nil
 }
 
-// rowEncoder gathers rows for a record.
+// rowEncoder collects and encodes the rows of a record.
 type rowEncoder struct {
 	rowCount   int
-	rowsJSON   []byte // a JSON array without its end
+	rowsJSON   []byte // a JSON array without its closing bracket
 	compressed bytes.Buffer
 	compressor *flate.Writer
 	frame      []byte
 }
 
-// encoderPool keeps the compressor, which is large, between records that follow each other soon.
+// encoderPool keeps the compressors, which are large, for records that follow each other soon.
 var encoderPool = sync.Pool{New: func() any { return new(rowEncoder) }}
 
-// getEncoder takes an encoder without rows out of the pool.
+// getEncoder returns an encoder without rows from encoderPool.
 func getEncoder() *rowEncoder {
 	e := encoderPool.Get().(*rowEncoder)
 	e.rowCount = 0
 	return e
 }
 
-// addRow adds a row, which must leave the text within mostRows.
-func (e *rowEncoder) addRow(in Instance) error {
-	text, err := json.Marshal(in)
+// addRow adds a row. It fails if the JSON of all rows would take more than maxRowsJSONBytes.
+func (e *rowEncoder) addRow(instance Instance) error {
+	rowJSON, err := json.Marshal(instance)
 	if err != nil {
 		return err
 	}
 	if e.rowCount == 0 {
 		e.rowsJSON = e.rowsJSON[:0]
 	}
-	if len(e.rowsJSON)+len(text)+2 > maxRowsJSONBytes {
+	if len(e.rowsJSON)+len(rowJSON)+2 > maxRowsJSONBytes {
 		return errRecordTooLarge
 	}
 	if e.rowCount++; e.rowCount == 1 {
@@ -463,16 +473,16 @@
 	} else {
 		e.rowsJSON = append(e.rowsJSON, ',')
 	}
-	e.rowsJSON = append(e.rowsJSON, text...)
+	e.rowsJSON = append(e.rowsJSON, rowJSON...)
 	return nil
 }
 
-// isChunkFull says whether a chunk is to be closed.
+// isChunkFull reports whether the rows so far are enough for a chunk.
 func (e *rowEncoder) isChunkFull() bool {
 	return e.rowCount >= maxChunkRows || len(e.rowsJSON) >= fullChunkBytes
 }
 
-// closeArray ends the rows.
+// closeArray closes the JSON array of the rows.
 func (e *rowEncoder) closeArray() {
 	if e.rowCount == 0 {
 		e.rowsJSON = append(e.rowsJSON[:0], '[')
@@ -481,7 +491,7 @@
 	e.rowCount = 0
 }
 
-// compress appends the compressed text to what is in packed.
+// compress compresses rowsJSON and appends it to e.compressed.
 func (e *rowEncoder) compress() error {
 	if e.compressor == nil {
 		var err error
@@ -497,7 +507,7 @@
 	return e.compressor.Close()
 }
 
-// encodeChunk is the body of the chunk of the rows so far; it stands until the next one.
+// encodeChunk returns the body of a chunk with the rows so far. It is valid until the next call.
 func (e *rowEncoder) encodeChunk() ([]byte, error) {
 	e.compressed.Reset()
 	e.compressed.Write(binary.LittleEndian.AppendUint32([]byte{recordChunk}, uint32(e.rowCount)))
@@ -506,30 +516,30 @@
 	return e.compressed.Bytes(), err
 }
 
-// encodeUpdate is the body of the update of the rows so far.
+// encodeUpdate returns the body of an update with the rows so far. It is valid until the next call.
 func (e *rowEncoder) encodeUpdate(generation int64) ([]byte, error) {
-	head := binary.LittleEndian.AppendUint64([]byte{recordCompressedUpdate}, uint64(generation))
-	head = binary.LittleEndian.AppendUint32(head, uint32(e.rowCount))
+	header := binary.LittleEndian.AppendUint64([]byte{recordCompressedUpdate}, uint64(generation))
+	header = binary.LittleEndian.AppendUint32(header, uint32(e.rowCount))
 	e.closeArray()
 	if len(e.rowsJSON) < minCompressBytes {
-		head[0] = recordUpdate
-		return append(head, e.rowsJSON...), nil
+		header[0] = recordUpdate
+		return append(header, e.rowsJSON...), nil
 	}
 	e.compressed.Reset()
-	e.compressed.Write(head)
+	e.compressed.Write(header)
 	err := e.compress()
 	return e.compressed.Bytes(), err
 }
 
-// Replace saves a whole list in place of the one there is. The rows are written in a stream to a second file; the old
-// one stands until that is whole. It is removed before only where it would be wrong from now on: it can't be read, or
-// the generations of its origin count anew, below its own. An old copy is otherwise only older.
+// Replace saves a whole list in place of the saved one. The rows are streamed to a second file, and the old file is
+// kept until that is whole. The old file is removed first only if it would be wrong from now on: it can't be read, or
+// its origin has restarted its generations below the saved one. Otherwise the old list is just older.
 //
-// The rows must be those at that generation, or later ones of the same origin. No update that came after it may be
-// appended before: it would be lost, and later ones would stand behind a gap.
+// The rows must be those at the given generation, or at a later one of the same origin. No later update may be appended
+// before: it would be lost, and the updates after it would follow a gap.
 //
-// On an error no new copy is left and the old one stays; errNoRoom (wrapped) says that the two would have gone over the
-// budget.
+// On an error no new file is left and the old one stays. errNoRoom (wrapped) means that the two files together would
+// have exceeded the budget.
 func (s *Store) Replace(origin string, generation int64, rows iter.Seq[Instance]) error {
 	if s.budgetBytes <= 0 {
 		return nil
@@ -554,47 +564,52 @@
 		}
 		s.hasList, s.loadErr, s.saved, s.fileBytes, s.snapshotBytes = false, errNoSavedList, SavedInfo{}, 0, 0
 	}
-	beside := int64(0)
+	oldFileBytes := int64(0)
 	if info, err := os.Stat(s.path()); err == nil {
-		beside = info.Size()
+		oldFileBytes = info.Size()
 	} else if !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	saved := SavedInfo{Origin: origin, Generation: generation}
-	size, file, err := s.writeSnapshotFile(&saved, rows, beside)
+	size, newInfo, err := s.writeSnapshotFile(&saved, rows, oldFileBytes)
 	if err == nil {
 		err = os.Rename(s.newPath(), s.path())
 	}
 	if err != nil {
 		return errors.Join(err, removeIfExists(s.newPath()))
 	}
-	s.hasList, s.loadErr, s.saved, s.fileBytes, s.fileInfo, s.snapshotBytes, s.hasTornEnd = true, nil, saved, size, file, size, false
+	s.hasList, s.loadErr, s.saved, s.fileBytes, s.fileInfo, s.snapshotBytes, s.hasTornEnd =
+		true, nil, saved, size, newInfo, size, false
 	return nil
 }
 
-// writeSnapshotFile writes a snapshot to the new file, beside an old one of that size, counts its rows, and says how long it is.
-func (s *Store) writeSnapshotFile(saved *SavedInfo, rows iter.Seq[Instance], beside int64) (size int64, file os.FileInfo, err error) {
+// writeSnapshotFile writes a snapshot to the new file, while there is an old file of the given size. It counts the rows
+// in saved and returns the size of the new file.
+func (s *Store) writeSnapshotFile(saved *SavedInfo, rows iter.Seq[Instance],
+	oldFileBytes int64) (size int64, info os.FileInfo, err error) {
 	f, err := os.OpenFile(s.newPath(), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer func() { err = errors.Join(err, f.Close()) }()
-	if size, err = s.writeSnapshot(f, saved, rows, beside); err == nil {
-		file, err = f.Stat()
+	if size, err = s.writeSnapshot(f, saved, rows, oldFileBytes); err == nil {
+		info, err = f.Stat()
 	}
-	return size, file, err
+	return size, info, err
 }
 
-func (s *Store) writeSnapshot(f *os.File, saved *SavedInfo, rows iter.Seq[Instance], beside int64) (size int64, err error) {
+func (s *Store) writeSnapshot(f *os.File, saved *SavedInfo, rows iter.Seq[Instance],
+	oldFileBytes int64) (size int64, err error) {
 	e := getEncoder()
 	defer encoderPool.Put(e)
-	put := func(body []byte) error {
+	writeRecord := func(body []byte) error {
 		if len(body) > maxRecordBodyBytes {
 			return errRecordTooLarge
 		}
 		e.frame = wal.Append(e.frame[:0], body)
-		if next := size + int64(len(e.frame)); !s.fitsBudget(beside, next) {
-			return fmt.Errorf("%w: %d bytes beside %d, budget %d, %d rows in", errNoRoom, next, beside, s.budgetBytes, saved.RowCount)
+		if newSize := size + int64(len(e.frame)); !s.fitsBudget(oldFileBytes, newSize) {
+			return fmt.Errorf("%w: %d bytes beside an old file of %d, budget %d, after %d rows", errNoRoom, newSize,
+				oldFileBytes, s.budgetBytes, saved.RowCount)
 		}
 		n, err := f.Write(e.frame)
 		size += int64(n)
@@ -605,17 +620,17 @@
 		if err != nil {
 			return err
 		}
-		return put(body)
+		return writeRecord(body)
 	}
-	head, err := json.Marshal(snapshotHeader{storeFormatVersion, saved.Origin, saved.Generation})
+	headerJSON, err := json.Marshal(snapshotHeader{storeFormatVersion, saved.Origin, saved.Generation})
 	if err != nil {
 		return size, err
 	}
-	if err := put(append([]byte{recordHeader}, head...)); err != nil {
+	if err := writeRecord(append([]byte{recordHeader}, headerJSON...)); err != nil {
 		return size, err
 	}
-	for in := range rows {
-		if err := e.addRow(in); err != nil {
+	for instance := range rows {
+		if err := e.addRow(instance); err != nil {
 			return size, err
 		}
 		saved.RowCount++
@@ -630,17 +645,18 @@
 			return size, err
 		}
 	}
-	last, err := json.Marshal(snapshotEnd{saved.RowCount, saved.Generation})
+	endJSON, err := json.Marshal(snapshotEnd{saved.RowCount, saved.Generation})
 	if err != nil {
 		return size, err
 	}
-	return size, put(append([]byte{recordEnd}, last...))
+	return size, writeRecord(append([]byte{recordEnd}, endJSON...))
 }
 
-// Append saves one update behind what there is: the rows that differ, gone ones as Lifecycle "removed". It must follow
-// what this process has loaded at its start or replaced, and its generation must rise. On an error nothing is appended, and rows that were not appended are lacking: all later updates are refused
-// until Replace, as they would stand behind a gap. errNoRoom (wrapped) says that the update would have gone over the
-// budget, or taken the room in which the list can be rewritten.
+// Append saves an update after the saved list: the rows that differ, with Lifecycle "removed" for endpoints that are
+// gone. It must follow the list that this process loaded at its start or saved with Replace, and its generation must be
+// higher. On an error nothing is appended, and the rows are missing from the file: later updates are rejected until
+// Replace, as they would follow a gap. errNoRoom (wrapped) means that the update would have exceeded the budget, or
+// would have left too little room to rewrite the list.
 func (s *Store) Append(generation int64, rows []Instance) error {
 	if s.budgetBytes <= 0 {
 		return nil
@@ -652,7 +668,8 @@
 		return errMissingUpdates
 	}
 	if generation <= s.saved.Generation {
-		s.upToDate = generation == s.saved.Generation && len(rows) == 0 // a lower one is counted anew, or lost
+		// With a lower one, discovery has restarted its generations or an update was lost; rows would be lost here.
+		s.upToDate = generation == s.saved.Generation && len(rows) == 0
 		return fmt.Errorf("saved list: %w: from %d to %d", errGenerationNotHigher, s.saved.Generation, generation)
 	}
 	if err := s.appendUpdate(generation, rows); err != nil {
@@ -666,8 +683,8 @@
 func (s *Store) appendUpdate(generation int64, rows []Instance) error {
 	e := getEncoder()
 	defer encoderPool.Put(e)
-	for _, in := range rows {
-		if err := e.addRow(in); err != nil {
+	for _, instance := range rows {
+		if err := e.addRow(instance); err != nil {
 			return err
 		}
 	}
@@ -678,9 +695,9 @@
 	if len(body) > maxRecordBodyBytes {
 		return fmt.Errorf("%w: %d bytes", errRecordTooLarge, len(body))
 	}
-	b := wal.Append(nil, body)
-	if !s.hasRoomFor(int64(len(b))) {
-		return fmt.Errorf("%w: %d bytes behind %d, budget %d", errNoRoom, len(b), s.fileBytes, s.budgetBytes)
+	record := wal.Append(nil, body)
+	if !s.hasRoomFor(int64(len(record))) {
+		return fmt.Errorf("%w: %d bytes after a file of %d, budget %d", errNoRoom, len(record), s.fileBytes, s.budgetBytes)
 	}
 	f, err := os.OpenFile(s.path(), os.O_WRONLY, 0)
 	if err != nil {
@@ -690,32 +707,32 @@
 	if info, err := f.Stat(); err != nil {
 		return err
 	} else if info.Size() != s.fileBytes || !os.SameFile(info, s.fileInfo) {
-		return fmt.Errorf("another process has written %d bytes where %d were", info.Size(), s.fileBytes)
+		return fmt.Errorf("another process has changed the file: %d bytes instead of %d", info.Size(), s.fileBytes)
 	}
-	if n, err := f.WriteAt(b, s.fileBytes); err != nil {
+	if n, err := f.WriteAt(record, s.fileBytes); err != nil {
 		if n > 0 {
 			err = errors.Join(err, f.Truncate(s.fileBytes))
 		}
 		return err
 	}
-	s.fileBytes += int64(len(b))
+	s.fileBytes += int64(len(record))
 	s.saved.RowCount += len(rows)
 	return nil
 }
 
-// hasRoomFor says whether so many bytes may be appended. A rewrite must remain possible where it is possible at all; it
-// takes some more than the snapshot, as entries may have been added.
+// hasRoomFor reports whether n bytes may be appended. If the budget allows a rewrite at all, room for it has to remain.
+// A rewrite is estimated at the size of the snapshot and half of the updates, as they may have added endpoints.
 func (s *Store) hasRoomFor(n int64) bool {
-	rewritten := func(size int64) int64 { return s.snapshotBytes + (size-s.snapshotBytes)/2 }
-	if !s.fitsBudget(s.snapshotBytes, rewritten(s.snapshotBytes)) {
+	rewrittenSize := func(size int64) int64 { return s.snapshotBytes + (size-s.snapshotBytes)/2 }
+	if !s.fitsBudget(s.snapshotBytes, rewrittenSize(s.snapshotBytes)) {
 		return s.fitsBudget(s.fileBytes+n, 0)
 	}
-	return s.fitsBudget(s.fileBytes+n, rewritten(s.fileBytes+n))
+	return s.fitsBudget(s.fileBytes+n, rewrittenSize(s.fileBytes+n))
 }
 
-// NeedsReplace says that Replace is due: the updates have grown to more than half of the snapshot and some KB, there is hardly
-// room for more of them, or the file lacks changes. It says so also where Replace has found no room: whoever has heard
-// of that does not try again before the list is shorter.
+// NeedsReplace reports whether Replace is due: the updates take more than half of the snapshot's size and more than
+// minReplaceUpdateBytes, there is hardly room for more of them, or the file lacks updates. It stays true if Replace
+// found no room: the caller should not try again before the list is shorter.
 func (s *Store) NeedsReplace() bool {
 	if s.budgetBytes <= 0 {
 		return false
@@ -723,6 +740,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open()
-	updates := s.fileBytes - s.snapshotBytes
-	return !s.hasList || !s.upToDate || updates > max(s.snapshotBytes/2, minReplaceUpdateBytes) || updates > 0 && !s.hasRoomFor(minCompressBytes)
+	updateBytes := s.fileBytes - s.snapshotBytes
+	return !s.hasList || !s.upToDate || updateBytes > max(s.snapshotBytes/2, minReplaceUpdateBytes) ||
+		updateBytes > 0 && !s.hasRoomFor(minCompressBytes)
 }
--- a/internal/discovery/store_test.go
+++ b/internal/discovery/store_test.go
@@ -29,12 +29,13 @@
 
 var discardLogger = slog.New(slog.DiscardHandler)
 
-// sampleInstance is an entry as discovery tells it of the destinations of a fleet.
+// sampleInstance returns an endpoint as discovery publishes it, for destinations of a fleet.
 func sampleInstance(i int) Instance {
-	h := uint32(i) * 0x9e3779b1 // addresses are in no order
-	return Instance{ID: fmt.Sprintf("s-%06d", i), HostPort: fmt.Sprintf("10.%d.%d.%d:%d", h>>24, h>>16&255, h>>8&255, 6379+h&7),
-		Zone: fmt.Sprintf("zone-%d", i*7%6), Kind: []string{"small", "large"}[i*13%2], Destination: int64(i / 2), Lifecycle: "up",
-		Weight: 1 + float64(i*31%4)/4}
+	h := uint32(i) * 0x9e3779b1 // so that addresses are in no order
+	return Instance{ID: fmt.Sprintf("s-%06d", i),
+		HostPort: fmt.Sprintf("10.%d.%d.%d:%d", h>>24, h>>16&255, h>>8&255, 6379+h&7),
+		Zone:     fmt.Sprintf("zone-%d", i*7%6), Kind: []string{"small", "large"}[i*13%2], Destination: int64(i / 2),
+		Lifecycle: "up", Weight: 1 + float64(i*31%4)/4}
 }
 
 func sampleInstances(from, to int) []Instance {
@@ -50,7 +51,7 @@
 	return in
 }
 
-// instancesByID is a list by name.
+// instancesByID is a list by endpoint id.
 type instancesByID map[string]Instance
 
 func (l instancesByID) apply(rows []Instance) {
@@ -71,7 +72,7 @@
 	return l
 }
 
-// loadList reads a folder as the next process does.
+// loadList loads the list in a folder as the next process does.
 func loadList(dir string) (SavedInfo, instancesByID, error) {
 	l := instancesByID{}
 	n := 0
@@ -81,7 +82,7 @@
 		return nil
 	})
 	if err == nil && n != saved.RowCount {
-		err = fmt.Errorf("%d rows handed out, but the count is %d", n, saved.RowCount)
+		err = fmt.Errorf("%d rows passed on, but the count is %d", n, saved.RowCount)
 	}
 	return saved, l, err
 }
@@ -111,7 +112,7 @@
 	}
 }
 
-// reopenStore is the store of a process that has loaded what is there.
+// reopenStore returns the store of a new process that has loaded the saved list.
 func reopenStore(t *testing.T, dir string) *Store {
 	t.Helper()
 	s := OpenStore(dir, largeBudgetBytes, discardLogger)
@@ -121,7 +122,7 @@
 	return s
 }
 
-// diskUsageBytes counts the store's files as the platform does.
+// diskUsageBytes returns the size of the store's files as the platform counts it.
 func diskUsageBytes(t *testing.T, dir string) (sum int64) {
 	t.Helper()
 	for _, name := range []string{storeFileName, storeFileName + storeNewSuffix} {
@@ -136,13 +137,13 @@
 	return sum
 }
 
-// withBudgetCheck hands rows out and looks at the disk before each of them.
+// withBudgetCheck yields rows and checks the disk usage every 32 rows.
 func withBudgetCheck(t *testing.T, dir string, budget int64, rows []Instance) iter.Seq[Instance] {
 	return func(yield func(Instance) bool) {
 		for i, in := range rows {
-			if i%32 == 0 { // a chunk has more rows
-				if sum := diskUsageBytes(t, dir); sum > budget {
-					t.Fatalf("%d bytes on disk, budget %d", sum, budget)
+			if i%32 == 0 { // more often than chunks are written
+				if used := diskUsageBytes(t, dir); used > budget {
+					t.Fatalf("%d bytes on disk, budget %d", used, budget)
 				}
 			}
 			if !yield(in) {
@@ -161,7 +162,7 @@
 	return text
 }
 
-// folderWithStoreFile is a folder whose list has those bytes.
+// folderWithStoreFile returns a folder whose list file has the given content.
 func folderWithStoreFile(t *testing.T, text []byte) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -176,7 +177,7 @@
 	}
 }
 
-// mustHaveNoNewFile fails if a rewrite has left its file.
+// mustHaveNoNewFile fails the test if a rewrite has left its file.
 func mustHaveNoNewFile(t *testing.T, dir string) {
 	t.Helper()
 	if _, err := os.Stat(filepath.Join(dir, storeFileName+storeNewSuffix)); !errors.Is(err, fs.ErrNotExist) {
@@ -191,32 +192,33 @@
 	}
 	s := OpenStore(dir, largeBudgetBytes, discardLogger)
 	if err := s.Append(1, sampleInstances(0, 1)); !errors.Is(err, errMissingUpdates) {
-		t.Fatalf("an update of nothing: %v", err)
+		t.Fatalf("an update without a list: %v", err)
 	}
 	odd := Instance{ID: "ü \"quoted\" \x00 \u2028", HostPort: "[::1]:1", Destination: -1 << 62, Lifecycle: "odd", Weight: 1e-300}
 	whole := append(sampleInstances(0, 1500), odd)
 	mustReplace(t, s, -7, whole)
 	want := newInstancesByID(whole)
 	mustHaveSaved(t, dir, "o:1", -7, want)
-	// Updates of several sizes, one of them of nothing, one of a record that is compressed.
-	for generation, update := range [][]Instance{{asRemoved(sampleInstance(0))}, {}, {sampleInstance(2000), asRemoved(sampleInstance(1)), odd}, sampleInstances(3000, 3700)} {
+	// Updates of several sizes: one is empty, and one is large enough to be compressed.
+	for generation, update := range [][]Instance{{asRemoved(sampleInstance(0))}, {},
+		{sampleInstance(2000), asRemoved(sampleInstance(1)), odd}, sampleInstances(3000, 3700)} {
 		mustAppend(t, s, int64(generation), update...)
 		want.apply(update)
 		mustHaveSaved(t, dir, "o:1", int64(generation), want)
 	}
-	// The next process goes on where this one was.
+	// The next process continues after this one.
 	s = OpenStore(dir, largeBudgetBytes, discardLogger)
 	if saved, err := s.Peek(); err != nil || saved != (SavedInfo{"o:1", 3, 1501 + 1 + 3 + 700}) {
 		t.Fatalf("%+v, %v", saved, err)
 	}
 	if err := s.Append(9, sampleInstances(7, 8)); !errors.Is(err, errMissingUpdates) {
-		t.Fatalf("an update of what was not loaded: %v", err)
+		t.Fatalf("an update of a list that was not loaded: %v", err)
 	}
 	s = reopenStore(t, dir)
 	mustAppend(t, s, 9, sampleInstance(7))
 	want.apply(sampleInstances(7, 8))
 	mustHaveSaved(t, dir, "o:1", 9, want)
-	// A whole list from elsewhere, with no entry at all.
+	// An empty whole list from another origin.
 	if err := s.Replace("o:2", 2, slices.Values([]Instance(nil))); err != nil {
 		t.Fatal(err)
 	}
@@ -231,55 +233,56 @@
 	s := OpenStore(dir, largeBudgetBytes, discardLogger)
 	mustReplace(t, s, 5, sampleInstances(0, 3))
 	if err := s.Append(5, nil); !errors.Is(err, errGenerationNotHigher) || s.NeedsReplace() {
-		t.Fatalf("generation 5: %v, stale %v", err, s.NeedsReplace())
+		t.Fatalf("generation 5: %v, replace needed %v", err, s.NeedsReplace())
 	}
-	mustAppend(t, s, 6, sampleInstance(3)) // nothing was lost with that
-	// Generations below it are counted anew, even if the list is the same at first.
+	mustAppend(t, s, 6, sampleInstance(3)) // the empty update lost nothing
+	// A lower generation means that generations have restarted, even if the list is the same at first.
 	if err := s.Append(4, nil); !errors.Is(err, errGenerationNotHigher) || !s.NeedsReplace() {
-		t.Fatalf("generation 4: %v, stale %v", err, s.NeedsReplace())
+		t.Fatalf("generation 4: %v, replace needed %v", err, s.NeedsReplace())
 	}
 	mustReplace(t, s, 4, sampleInstances(0, 4))
 	mustHaveSaved(t, dir, "o:1", 4, newInstancesByID(sampleInstances(0, 4)))
 	mustAppend(t, s, 6)
-	// Rows that were refused are lacking: what comes later must not make it look as if they had not been told.
+	// Rejected rows are missing from the file: a later update must not hide that.
 	if err := s.Append(6, sampleInstances(4, 5)); !errors.Is(err, errGenerationNotHigher) {
 		t.Fatal(err)
 	}
 	if err := s.Append(7, sampleInstances(5, 6)); !errors.Is(err, errMissingUpdates) || !s.NeedsReplace() {
-		t.Fatalf("behind a gap: %v, stale %v", err, s.NeedsReplace())
+		t.Fatalf("after a gap: %v, replace needed %v", err, s.NeedsReplace())
 	}
 	mustHaveSaved(t, dir, "o:1", 6, newInstancesByID(sampleInstances(0, 4)))
-	// Nor does it help to read the list again: whoever tells of updates is further on.
+	// Loading the list again does not close the gap: the caller is at a later generation.
 	if _, err := s.Load(func([]Instance) error { return nil }); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Append(8, sampleInstances(6, 7)); !errors.Is(err, errMissingUpdates) {
-		t.Fatalf("behind a gap: %v", err)
+		t.Fatalf("after a gap: %v", err)
 	}
 	mustReplace(t, s, 7, sampleInstances(0, 6))
 	mustAppend(t, s, 8, sampleInstance(6))
 	mustHaveSaved(t, dir, "o:1", 8, newInstancesByID(sampleInstances(0, 7)))
 }
 
-// smallStoreFile is a small list with two updates: its bytes, where the snapshot and each update end, and what the list is there.
+// smallStoreFile returns the file of a small list with two updates, the offsets at which the snapshot and each update
+// end, and the list at each of these offsets.
 func smallStoreFile(t *testing.T) (text []byte, ends []int, lists []instancesByID) {
 	dir := t.TempDir()
 	s := OpenStore(dir, largeBudgetBytes, discardLogger)
 	mustReplace(t, s, 10, sampleInstances(0, 3))
-	note := func(l instancesByID) {
+	record := func(l instancesByID) {
 		ends = append(ends, len(readStoreFile(t, dir)))
 		lists = append(lists, l)
 	}
-	note(newInstancesByID(sampleInstances(0, 3)))
+	record(newInstancesByID(sampleInstances(0, 3)))
 	mustAppend(t, s, 11, asRemoved(sampleInstance(1)), sampleInstance(8))
-	note(newInstancesByID(sampleInstances(0, 3), []Instance{asRemoved(sampleInstance(1)), sampleInstance(8)}))
+	record(newInstancesByID(sampleInstances(0, 3), []Instance{asRemoved(sampleInstance(1)), sampleInstance(8)}))
 	more := sampleInstances(20, 60) // compressed
 	mustAppend(t, s, 12, more...)
-	note(newInstancesByID(sampleInstances(0, 3), []Instance{asRemoved(sampleInstance(1)), sampleInstance(8)}, more))
+	record(newInstancesByID(sampleInstances(0, 3), []Instance{asRemoved(sampleInstance(1)), sampleInstance(8)}, more))
 	return readStoreFile(t, dir), ends, lists
 }
 
-// A process can die within a write, and a file can be cut: what is left is refused or a list that was one.
+// A process can die during a write, and a file can be truncated. The rest is rejected, or it is a list that was saved.
 func TestStoreTruncatedAtEveryByte(t *testing.T) {
 	text, ends, lists := smallStoreFile(t)
 	dir := t.TempDir()
@@ -288,28 +291,29 @@
 		saved, got, err := loadList(dir)
 		if at < ends[0] {
 			if err == nil || errors.Is(err, fs.ErrNotExist) || len(got) > 0 {
-				t.Fatalf("cut at %d, within the snapshot: %v, %d entries", at, err, len(got))
+				t.Fatalf("truncated at %d, within the snapshot: %v, %d entries", at, err, len(got))
 			}
 			continue
 		}
-		n := 0
-		for n+1 < len(ends) && ends[n+1] <= at {
-			n++
+		updates := 0
+		for updates+1 < len(ends) && ends[updates+1] <= at {
+			updates++
 		}
-		if err != nil || saved.Generation != int64(10+n) || !maps.Equal(got, lists[n]) {
-			t.Fatalf("cut at %d: %+v, %d entries, %v", at, saved, len(got), err)
+		if err != nil || saved.Generation != int64(10+updates) || !maps.Equal(got, lists[updates]) {
+			t.Fatalf("truncated at %d: %+v, %d entries, %v", at, saved, len(got), err)
 		}
-		if at%8 != 0 && at != ends[n] {
+		if at%8 != 0 && at != ends[updates] {
 			continue
 		}
-		// What is appended then follows the last whole update.
+		// The next append follows the last whole update.
 		mustAppend(t, reopenStore(t, dir), 50, sampleInstance(9))
-		want := maps.Clone(lists[n])
+		want := maps.Clone(lists[updates])
 		want.apply(sampleInstances(9, 10))
 		mustHaveSaved(t, dir, "o:1", 50, want)
 	}
 }
 
+// A changed byte makes the file unusable, or it cuts off the update that it is in and all later ones.
 func TestStoreBitFlippedAtEveryByte(t *testing.T) {
 	text, ends, lists := smallStoreFile(t)
 	dir := t.TempDir()
@@ -325,18 +329,18 @@
 				}
 				continue
 			}
-			n := 0
-			for ends[n+1] <= at {
-				n++
+			updates := 0
+			for ends[updates+1] <= at {
+				updates++
 			}
-			if err != nil || saved.Generation != int64(10+n) || !maps.Equal(got, lists[n]) {
+			if err != nil || saved.Generation != int64(10+updates) || !maps.Equal(got, lists[updates]) {
 				t.Fatalf("flipped at %d: %+v, %d entries, %v", at, saved, len(got), err)
 			}
 		}
 	}
 }
 
-// What is whole by its sums and yet no list is refused, and the error says why.
+// A file whose checksums are right but whose records are not a list is rejected, and the error says why.
 func TestStoreRejectsInvalidRecords(t *testing.T) {
 	record := func(kind byte, rest string) string { return string(wal.Append(nil, append([]byte{kind}, rest...))) }
 	chunk := func(n uint32, rows []Instance) string {
@@ -353,30 +357,32 @@
 		binary.LittleEndian.PutUint32(body[1:], n)
 		return string(wal.Append(nil, body))
 	}
-	head := record(recordHeader, `{"form":1,"origin":"o:1","generation":4}`)
+	header := record(recordHeader, `{"form":1,"origin":"o:1","generation":4}`)
 	three := chunk(3, sampleInstances(0, 3))
-	last := record(recordEnd, `{"count":3,"generation":4}`)
-	if saved, _, err := loadList(folderWithStoreFile(t, []byte(head+three+last))); err != nil || saved != (SavedInfo{"o:1", 4, 3}) {
-		t.Fatalf("the good one: %+v, %v", saved, err)
+	end := record(recordEnd, `{"count":3,"generation":4}`)
+	if saved, _, err := loadList(folderWithStoreFile(t, []byte(header+three+end))); err != nil ||
+		saved != (SavedInfo{"o:1", 4, 3}) {
+		t.Fatalf("the valid file: %+v, %v", saved, err)
 	}
 	for _, test := range []struct {
 		how, text string
 		want      error
 	}{
 		{"empty", "", errNoEnd},
-		{"no header", three + last, errNoHeader},
-		{"form", record(recordHeader, `{"form":2,"origin":"o:1","generation":4}`) + three + last, errUnknownFormat},
-		{"no end", head + three, errNoEnd},
-		{"two headers", head + head + three + last, errBadRecord},
-		{"fewer rows", head + last, errCountMismatch},
-		{"more rows", head + three + three + last, errCountMismatch},
-		{"another generation", head + three + record(recordEnd, `{"count":3,"generation":5}`), errCountMismatch},
-		{"end that is none", head + three + record(recordEnd, `3`), errBadRecord},
-		{"update before the end", head + three + record(recordUpdate, "\x05\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00[]") + last, errBadRecord},
-		{"kind", head + three + record(99, "") + last, errBadRecord},
-		{"short chunk", head + record(recordChunk, "abc") + last, errBadRecord},
-		{"chunk of fewer rows", head + chunk(3, sampleInstances(0, 2)) + last, errCountMismatch},
-		{"chunk that is not compressed", head + record(recordChunk, "\x03\x00\x00\x00[]") + last, errBadRecord},
+		{"no header", three + end, errNoHeader},
+		{"unknown format", record(recordHeader, `{"form":2,"origin":"o:1","generation":4}`) + three + end, errUnknownFormat},
+		{"no end", header + three, errNoEnd},
+		{"two headers", header + header + three + end, errBadRecord},
+		{"fewer rows", header + end, errCountMismatch},
+		{"more rows", header + three + three + end, errCountMismatch},
+		{"another generation", header + three + record(recordEnd, `{"count":3,"generation":5}`), errCountMismatch},
+		{"malformed end", header + three + record(recordEnd, `3`), errBadRecord},
+		{"update before the end", header + three +
+			record(recordUpdate, "\x05\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00[]") + end, errBadRecord},
+		{"unknown kind", header + three + record(99, "") + end, errBadRecord},
+		{"short chunk", header + record(recordChunk, "abc") + end, errBadRecord},
+		{"chunk of fewer rows", header + chunk(3, sampleInstances(0, 2)) + end, errCountMismatch},
+		{"chunk that is not compressed", header + record(recordChunk, "\x03\x00\x00\x00[]") + end, errBadRecord},
 		{"another file", "a text that someone has put here, for whatever reason", errBadRecord},
 	} {
 		dir := folderWithStoreFile(t, []byte(test.text))
@@ -389,16 +395,16 @@
 			t.Errorf("%s: no error", test.how)
 		}
 		if err := s.Append(9, nil); !errors.Is(err, errMissingUpdates) || !s.NeedsReplace() {
-			t.Errorf("%s: an update got %v, stale %v", test.how, err, s.NeedsReplace())
+			t.Errorf("%s: an update got %v, replace needed %v", test.how, err, s.NeedsReplace())
 		}
 		mustReplace(t, s, 5, sampleInstances(0, 1))
 		mustHaveSaved(t, dir, "o:1", 5, newInstancesByID(sampleInstances(0, 1)))
 	}
 
-	// Bad updates are cut off, whole ones stand.
-	five := record(recordUpdate, "\x05\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00[]")
+	// An invalid update is cut off, with all that follows it; the updates before it are kept.
+	updateFive := record(recordUpdate, "\x05\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00[]")
 	for how, tail := range map[string]string{
-		"generation":     five,
+		"generation":     updateFive,
 		"kind":           record(recordChunk, "12345678901234"),
 		"short":          record(recordUpdate, "\x06"),
 		"rows":           record(recordUpdate, "\x06\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00{}"),
@@ -406,14 +412,14 @@
 		"not compressed": record(recordCompressedUpdate, "\x06\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00[]"),
 	} {
 		later := record(recordUpdate, "\x09\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00[]")
-		dir := folderWithStoreFile(t, []byte(head+three+last+five+tail+later))
+		dir := folderWithStoreFile(t, []byte(header+three+end+updateFive+tail+later))
 		var log bytes.Buffer
 		s := OpenStore(dir, largeBudgetBytes, slog.New(slog.NewTextHandler(&log, nil)))
 		saved, err := s.Load(func([]Instance) error { return nil })
 		if err != nil || saved != (SavedInfo{"o:1", 5, 3}) || strings.Count(log.String(), "\n") != 1 {
 			t.Errorf("%s: %+v, %v, log:\n%s", how, saved, err, log.String())
 		}
-		if got := string(readStoreFile(t, dir)); got != head+three+last+five {
+		if got := string(readStoreFile(t, dir)); got != header+three+end+updateFive {
 			t.Errorf("%s: the file is %q", how, got)
 		}
 		mustAppend(t, s, 7, sampleInstance(3))
@@ -421,7 +427,7 @@
 	}
 }
 
-// A list that is older than one that is known otherwise must not be used, nor gone on with.
+// A saved list that is older than the list known from elsewhere must not be used, and nothing may be appended to it.
 func TestStoreLoadAtLeast(t *testing.T) {
 	dir := t.TempDir()
 	mustReplace(t, OpenStore(dir, largeBudgetBytes, discardLogger), 4, sampleInstances(0, 3))
@@ -429,19 +435,20 @@
 	mustAppend(t, s, 6, sampleInstance(3))
 	for _, generation := range []int64{-1, 4, 6} {
 		if saved, err := s.LoadAtLeast(generation, func([]Instance) error { return nil }); err != nil || saved.Generation != 6 {
-			t.Fatalf("asked for %d: %+v, %v", generation, saved, err)
+			t.Fatalf("at least %d: %+v, %v", generation, saved, err)
 		}
 	}
-	if _, err := s.LoadAtLeast(7, func([]Instance) error { t.Error("a row was handed out"); return nil }); !errors.Is(err, errTooOld) {
+	if _, err := s.LoadAtLeast(7,
+		func([]Instance) error { t.Error("a row was passed on"); return nil }); !errors.Is(err, errTooOld) {
 		t.Fatal(err)
 	}
 	if err := s.Append(8, sampleInstances(9, 10)); !errors.Is(err, errMissingUpdates) || !s.NeedsReplace() {
-		t.Fatalf("%v, stale %v", err, s.NeedsReplace())
+		t.Fatalf("%v, replace needed %v", err, s.NeedsReplace())
 	}
 	mustHaveSaved(t, dir, "o:1", 6, newInstancesByID(sampleInstances(0, 4)))
 }
 
-// Whoever can't take the rows goes on without them; what is appended then would stand behind a gap.
+// If the callback fails, the process goes on without the list, and nothing may be appended: it would follow a gap.
 func TestStoreLoadAbortedByCallback(t *testing.T) {
 	dir := t.TempDir()
 	s := OpenStore(dir, largeBudgetBytes, discardLogger)
@@ -455,15 +462,15 @@
 	}
 }
 
-// Until the rename the old list stands, wherever the process dies.
+// Until the rename the old list is kept, at whatever point the process dies.
 func TestStoreKeepsOldListIfProcessDiesDuringReplace(t *testing.T) {
 	dir := t.TempDir()
 	s := OpenStore(dir, largeBudgetBytes, discardLogger)
 	mustReplace(t, s, 1, sampleInstances(0, 30))
 	mustAppend(t, s, 2, sampleInstance(30))
-	deaths := 0
-	died := func() { // a copy of the folder is what the next process finds
-		deaths++
+	crashes := 0
+	checkCrash := func() { // the next process finds the folder as it is now
+		crashes++
 		next := t.TempDir()
 		if err := os.CopyFS(next, os.DirFS(dir)); err != nil {
 			t.Fatal(err)
@@ -474,7 +481,7 @@
 	err := s.Replace("o:1", 3, func(yield func(Instance) bool) {
 		for i := range 1200 {
 			if i%200 == 0 {
-				died()
+				checkCrash()
 			}
 			if !yield(sampleInstance(i)) {
 				return
@@ -484,7 +491,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// And with the second file whole, but not renamed.
+	// The same with a second file that is whole, but not renamed.
 	other := t.TempDir()
 	mustReplace(t, OpenStore(other, largeBudgetBytes, discardLogger), 3, sampleInstances(0, 1200))
 	next := folderWithStoreFile(t, nil)
@@ -495,20 +502,20 @@
 	mustHaveSaved(t, next, "o:1", 2, newInstancesByID(sampleInstances(0, 31)))
 	mustHaveNoNewFile(t, next)
 	mustHaveSaved(t, dir, "o:1", 3, newInstancesByID(sampleInstances(0, 1200)))
-	if deaths != 6 {
-		t.Errorf("looked at %d deaths", deaths)
+	if crashes != 6 {
+		t.Errorf("checked %d crashes", crashes)
 	}
 }
 
-// Every budget up to more than a rewrite needs: the files stay within it, what is there is a list that was one, and an
-// error says that there was no room.
+// For every budget, up to more than a rewrite needs, the files stay within it, the saved list is one that was current
+// at its generation, and an error reports that there was no room.
 func TestStoreBudget(t *testing.T) {
 	const n = 1100
 	dir := t.TempDir()
 	mustReplace(t, OpenStore(dir, largeBudgetBytes, discardLogger), 1, sampleInstances(0, n))
-	length := diskUsageBytes(t, dir)
+	listBytes := diskUsageBytes(t, dir)
 	kept, rewritten := 0, 0
-	for budget := int64(512); budget < 4*length; budget += 1024 {
+	for budget := int64(512); budget < 4*listBytes; budget += 1024 {
 		dir := t.TempDir()
 		s := OpenStore(dir, budget, discardLogger)
 		lists := map[int64]instancesByID{}
@@ -527,8 +534,8 @@
 		lists[1] = maps.Clone(want)
 		err := s.Replace("o:1", 1, withBudgetCheck(t, dir, budget, sampleInstances(0, n)))
 		check("first", err)
-		if fits := length <= budget; fits != (err == nil) {
-			t.Fatalf("budget %d of %d: %v", budget, length, err)
+		if fits := listBytes <= budget; fits != (err == nil) {
+			t.Fatalf("budget %d of %d: %v", budget, listBytes, err)
 		}
 		rewrites, noRoom := 0, err != nil
 		for generation := int64(2); generation < 40; generation++ {
@@ -544,13 +551,13 @@
 				check("rewrite", err)
 				if err == nil {
 					rewrites++
-				} else if noRoom = true; !s.NeedsReplace() { // the copy lacks this update, or will lack the next
-					t.Fatalf("budget %d: no rewrite is due, though it found no room", budget)
+				} else if noRoom = true; !s.NeedsReplace() { // the file lacks this update, or will lack the next
+					t.Fatalf("budget %d: no rewrite is due, although one found no room", budget)
 				}
 			}
 		}
 		saved, got, err := loadList(dir)
-		if budget < length {
+		if budget < listBytes {
 			if !errors.Is(err, fs.ErrNotExist) {
 				t.Fatalf("budget %d: %v", budget, err)
 			}
@@ -563,11 +570,11 @@
 		if rewrites > 0 {
 			rewritten++
 		}
-		if budget > 3*length && (saved.Generation != 39 || rewrites == 0) {
-			t.Errorf("budget %d of %d: it stands at %d after %d rewrites", budget, length, saved.Generation, rewrites)
+		if budget > 3*listBytes && (saved.Generation != 39 || rewrites == 0) {
+			t.Errorf("budget %d of %d: saved at generation %d after %d rewrites", budget, listBytes, saved.Generation, rewrites)
 		}
 	}
-	t.Logf("a list of %d bytes: kept with %d budgets, rewritten with %d", length, kept, rewritten)
+	t.Logf("a list of %d bytes: kept with %d budgets, rewritten with %d", listBytes, kept, rewritten)
 }
 
 func TestStoreZeroBudget(t *testing.T) {
@@ -583,29 +590,29 @@
 		t.Error(err)
 	}
 	if s.NeedsReplace() {
-		t.Error("stale")
+		t.Error("a replace is needed")
 	}
 	if _, err := os.Stat(dir); !errors.Is(err, fs.ErrNotExist) {
 		t.Error(err)
 	}
 }
 
-// A budget that has become smaller than what is there holds from the first use on.
+// A budget that is smaller than the existing file holds from the first use on.
 func TestStoreRemovesFileOverReducedBudget(t *testing.T) {
 	dir := t.TempDir()
 	mustReplace(t, OpenStore(dir, largeBudgetBytes, discardLogger), 1, sampleInstances(0, 600))
-	length := diskUsageBytes(t, dir)
-	s := OpenStore(dir, length, discardLogger)
+	listBytes := diskUsageBytes(t, dir)
+	s := OpenStore(dir, listBytes, discardLogger)
 	if saved, err := s.Peek(); err != nil || saved.RowCount != 600 {
 		t.Fatalf("%+v, %v", saved, err)
 	}
-	s = OpenStore(dir, length-512, discardLogger)
+	s = OpenStore(dir, listBytes-512, discardLogger)
 	if _, err := s.Peek(); !errors.Is(err, fs.ErrNotExist) || diskUsageBytes(t, dir) != 0 {
 		t.Fatalf("%v, %d bytes", err, diskUsageBytes(t, dir))
 	}
 }
 
-// An error of a rewrite, whatever it is, leaves the old list and no second file.
+// A rewrite that fails leaves the old list and no second file, whatever the error.
 func TestStoreFailedReplaceKeepsOldList(t *testing.T) {
 	dir := t.TempDir()
 	s := OpenStore(dir, largeBudgetBytes, discardLogger)
@@ -617,7 +624,7 @@
 		t.Fatal(err)
 	}
 	mustHaveNoNewFile(t, dir)
-	if err := os.Mkdir(path, 0o700); err != nil { // no file can be there
+	if err := os.Mkdir(path, 0o700); err != nil { // so that the file can't be created
 		t.Fatal(err)
 	}
 	if err := s.Replace("o:1", 2, slices.Values(sampleInstances(0, 5))); err == nil {
@@ -625,14 +632,14 @@
 	}
 	mustHaveSaved(t, dir, "o:1", 1, newInstancesByID(sampleInstances(0, 3)))
 	if err := s.Append(3, sampleInstances(5, 6)); !errors.Is(err, errMissingUpdates) || !s.NeedsReplace() {
-		t.Fatalf("%v, stale %v", err, s.NeedsReplace())
+		t.Fatalf("%v, replace needed %v", err, s.NeedsReplace())
 	}
 	mustReplace(t, s, 3, sampleInstances(0, 6))
 	mustAppend(t, s, 4, sampleInstance(6))
 	mustHaveSaved(t, dir, "o:1", 4, newInstancesByID(sampleInstances(0, 7)))
 }
 
-// A rewrite that fails at the generation that is saved costs nothing: the updates go on.
+// After a failed rewrite at the saved generation, updates can still be appended.
 func TestStoreAppendsAfterFailedReplace(t *testing.T) {
 	dir := t.TempDir()
 	mustReplace(t, OpenStore(dir, largeBudgetBytes, discardLogger), 1, sampleInstances(0, 600))
@@ -648,8 +655,8 @@
 	mustHaveSaved(t, dir, "o:1", 3, newInstancesByID(sampleInstances(0, 602)))
 }
 
-// Where an origin counts anew, its old generations name other lists: the old copy must not stand, even if the new one
-// can't be written.
+// If an origin restarts its generations, the old ones name other lists: the old file must not be kept, even if the new
+// one can't be written.
 func TestStoreGenerationsRestart(t *testing.T) {
 	dir := t.TempDir()
 	mustReplace(t, OpenStore(dir, largeBudgetBytes, discardLogger), 100, sampleInstances(0, 3))
@@ -660,12 +667,12 @@
 	if _, _, err := loadList(dir); !errors.Is(err, fs.ErrNotExist) {
 		t.Fatal(err)
 	}
-	// One that is written is gone on with.
+	// If the new one is written, updates can be appended to it.
 	mustReplace(t, s, 100, sampleInstances(0, 3))
 	mustReplace(t, s, 5, sampleInstances(0, 4))
 	mustAppend(t, s, 6, sampleInstance(4))
 	mustHaveSaved(t, dir, "o:1", 6, newInstancesByID(sampleInstances(0, 5)))
-	// That of another origin says so, and stays.
+	// The file of another origin names that origin, and is kept.
 	mustReplace(t, s, 100, sampleInstances(0, 3))
 	if err := s.Replace("o:2", 5, slices.Values(sampleInstances(0, 5000))); !errors.Is(err, errNoRoom) {
 		t.Fatal(err)
@@ -676,22 +683,22 @@
 	}
 }
 
-// A file that has changed under the store is not written to.
+// Nothing is appended to a file that another process has changed.
 func TestStoreFileChangedByAnotherProcess(t *testing.T) {
 	dir := t.TempDir()
 	s := OpenStore(dir, largeBudgetBytes, discardLogger)
 	mustReplace(t, s, 1, sampleInstances(0, 3))
 	mustAppend(t, reopenStore(t, dir), 2, sampleInstance(3))
 	if err := s.Append(2, sampleInstances(4, 5)); err == nil || !s.NeedsReplace() {
-		t.Fatalf("%v, stale %v", err, s.NeedsReplace())
+		t.Fatalf("%v, replace needed %v", err, s.NeedsReplace())
 	}
 	mustHaveSaved(t, dir, "o:1", 2, newInstancesByID(sampleInstances(0, 4)))
 
-	// Another file of the same length is another file.
+	// A replaced file of the same length is detected too.
 	mustReplace(t, s, 3, sampleInstances(0, 3))
 	mustReplace(t, reopenStore(t, dir), 4, sampleInstances(0, 3))
 	if err := s.Append(5, sampleInstances(4, 5)); err == nil || !s.NeedsReplace() {
-		t.Fatalf("%v, stale %v", err, s.NeedsReplace())
+		t.Fatalf("%v, replace needed %v", err, s.NeedsReplace())
 	}
 	mustHaveSaved(t, dir, "o:1", 4, newInstancesByID(sampleInstances(0, 3)))
 	mustReplace(t, s, 5, sampleInstances(0, 5))
@@ -712,11 +719,11 @@
 		mustAppend(t, s, generation+1, sampleInstance(int(generation)))
 	}
 	if updates := len(readStoreFile(t, dir)) - snapshot; updates <= snapshot/2 || updates > snapshot/2+512 {
-		t.Errorf("stale with %d bytes of updates after %d", updates, snapshot)
+		t.Errorf("replace needed with %d bytes of updates after a snapshot of %d", updates, snapshot)
 	}
 	mustReplace(t, s, generation, sampleInstances(0, 3000))
 	if s.NeedsReplace() || len(readStoreFile(t, dir)) > snapshot+8 { // the generation has more digits
-		t.Errorf("stale %v, %d bytes", s.NeedsReplace(), len(readStoreFile(t, dir)))
+		t.Errorf("replace needed %v, %d bytes", s.NeedsReplace(), len(readStoreFile(t, dir)))
 	}
 	// A small list is not rewritten for each update.
 	mustReplace(t, s, 10_000, sampleInstances(0, 1))
@@ -725,22 +732,22 @@
 		mustAppend(t, s, int64(10_001+updates), sampleInstance(0))
 	}
 	if updates < 40 {
-		t.Errorf("stale after %d updates", updates)
+		t.Errorf("replace needed after %d updates", updates)
 	}
 }
 
-// An update of more rows than a record holds is refused and the whole list is due.
+// An update with more rows than fit in a record is rejected, and a replace is needed.
 func TestStoreOversizedUpdate(t *testing.T) {
 	dir := t.TempDir()
 	s := OpenStore(dir, largeBudgetBytes, discardLogger)
 	mustReplace(t, s, 1, sampleInstances(0, 3))
 	if err := s.Append(2, sampleInstances(0, 60_000)); !errors.Is(err, errRecordTooLarge) || !s.NeedsReplace() {
-		t.Fatalf("%v, stale %v", err, s.NeedsReplace())
+		t.Fatalf("%v, replace needed %v", err, s.NeedsReplace())
 	}
 	mustHaveSaved(t, dir, "o:1", 1, newInstancesByID(sampleInstances(0, 3)))
 }
 
-// Whatever happens in whatever order, what is loaded is what the list was at the generation it names.
+// After any sequence of operations and faults, a loaded list is the one that was current at its generation.
 func TestStoreRandomOperations(t *testing.T) {
 	seeds := 30
 	loaded, refused := 0, 0
@@ -751,13 +758,13 @@
 		s := OpenStore(dir, budget, discardLogger)
 		history := map[string]map[int64]instancesByID{}
 		origin, generation, now := "o:1", int64(1), instancesByID{}
-		note := func() {
+		record := func() {
 			if history[origin] == nil {
 				history[origin] = map[int64]instancesByID{}
 			}
 			history[origin][generation] = maps.Clone(now)
 		}
-		note()
+		record()
 		for step := range 120 {
 			where := fmt.Sprintf("seed %d, step %d", seed, step)
 			switch action := rng.IntN(20); {
@@ -772,26 +779,27 @@
 				}
 				now.apply(update)
 				generation += 1 + rng.Int64N(3)
-				note()
-				if err := s.Append(generation, update); err != nil && !errors.Is(err, errMissingUpdates) && !errors.Is(err, errNoRoom) {
+				record()
+				if err := s.Append(generation, update); err != nil && !errors.Is(err, errMissingUpdates) &&
+					!errors.Is(err, errNoRoom) {
 					t.Fatalf("%s: %v", where, err)
 				}
 				if !s.NeedsReplace() {
 					break
 				}
 				fallthrough
-			case action < 13: // a whole list; sometimes of another origin, or counted anew
+			case action < 13: // a whole list; sometimes of another origin, or with restarted generations
 				if action >= 11 && rng.IntN(3) == 0 {
 					origin = fmt.Sprint("o:", rng.IntN(3))
 					generation = rng.Int64N(100)
-					if known := history[origin]; len(known) > 0 { // it lost its count, and names other lists from now on
+					if known := history[origin]; len(known) > 0 { // its generations restart, and name other lists from now on
 						generation = slices.Min(slices.Collect(maps.Keys(known))) - 1
 						history[origin] = nil
 					}
 					for i := range rng.IntN(400) {
 						now.apply([]Instance{sampleInstance(i)})
 					}
-					note()
+					record()
 				}
 				err := s.Replace(origin, generation, withBudgetCheck(t, dir, budget, slices.Collect(maps.Values(now))))
 				if err != nil && !errors.Is(err, errNoRoom) {
@@ -805,7 +813,7 @@
 					writeStoreFile(t, dir, text)
 					s = OpenStore(dir, budget, discardLogger)
 				}
-			case action < 18: // a bit that flips
+			case action < 18: // a flipped bit
 				if text, err := os.ReadFile(filepath.Join(dir, storeFileName)); err == nil && len(text) > 0 {
 					text[rng.IntN(len(text))] ^= 1 << rng.IntN(8)
 					writeStoreFile(t, dir, text)
@@ -820,12 +828,12 @@
 				}
 				loaded++
 				if want, ok := history[saved.Origin][saved.Generation]; !ok || !maps.Equal(got, want) {
-					t.Fatalf("%s: %+v with %d entries; known %v with %d", where, saved, len(got), ok, len(want))
+					t.Fatalf("%s: %+v with %d entries; generation in the history %v, with %d", where, saved, len(got), ok, len(want))
 				}
 				if saved.Origin == origin && saved.Generation == generation {
 					break
 				}
-				// The process that loads it goes on from there.
+				// The process that loads the list continues from there.
 				origin, generation, now = saved.Origin, saved.Generation, got
 				for g := range history[origin] {
 					if g > generation {
@@ -838,13 +846,13 @@
 			}
 		}
 	}
-	t.Logf("%d lists loaded, %d refused", loaded, refused)
+	t.Logf("%d lists loaded, %d rejected", loaded, refused)
 	if loaded < seeds || refused < seeds/10 {
-		t.Errorf("%d lists loaded, %d refused: the test says little", loaded, refused)
+		t.Errorf("%d lists loaded, %d rejected: too few for this test", loaded, refused)
 	}
 }
 
-// Whatever the records hold whose sums are right, the file is refused or it is a list that stays the same.
+// A file with corrupt records but valid checksums is rejected, or it holds a list that is the same at each load.
 func TestStoreCorruptRecordsWithValidChecksums(t *testing.T) {
 	good, _, _ := smallStoreFile(t)
 	dir := t.TempDir()
@@ -884,27 +892,28 @@
 			mustAppend(t, s, math.MaxInt64)
 		}
 	}
-	t.Logf("%d refused, %d cut", refused, cut)
+	t.Logf("%d rejected, %d cut off", refused, cut)
 	if refused < 100 || cut < 100 {
-		t.Errorf("%d refused, %d cut: the test says little", refused, cut)
+		t.Errorf("%d rejected, %d cut off: too few for this test", refused, cut)
 	}
 }
 
-// Updates and rewrites come in order, from two goroutines, while a third reads.
+// One goroutine appends updates, another rewrites the list, and a third loads it; updates and rewrites are in order.
 func TestStoreConcurrent(t *testing.T) {
-	const most = 100
+	const lastGeneration = 100
 	dir := t.TempDir()
 	s := OpenStore(dir, largeBudgetBytes, discardLogger)
-	at := func(generation int64) []Instance { return sampleInstances(0, 600+int(generation)) } // one more each time
-	mustReplace(t, s, 0, at(0))
+	// One instance more for each generation.
+	listAt := func(generation int64) []Instance { return sampleInstances(0, 600+int(generation)) }
+	mustReplace(t, s, 0, listAt(0))
 	var order sync.Mutex
-	var last atomic.Int64 // generation that is told
+	var last atomic.Int64 // generation that was last appended
 	done := make(chan error, 3)
 	go func() {
-		defer last.Store(most)
-		for generation := int64(1); generation <= most; generation++ {
+		defer last.Store(lastGeneration)
+		for generation := int64(1); generation <= lastGeneration; generation++ {
 			order.Lock()
-			err := s.Append(generation, at(generation)[599+generation:])
+			err := s.Append(generation, listAt(generation)[599+generation:])
 			last.Store(generation)
 			order.Unlock()
 			if err != nil {
@@ -915,10 +924,10 @@
 		done <- nil
 	}()
 	go func() {
-		for last.Load() < most {
+		for last.Load() < lastGeneration {
 			order.Lock()
 			generation := last.Load()
-			err := s.Replace("o:1", generation, slices.Values(at(generation)))
+			err := s.Replace("o:1", generation, slices.Values(listAt(generation)))
 			order.Unlock()
 			if err != nil {
 				done <- err
@@ -928,7 +937,7 @@
 		done <- nil
 	}()
 	go func() {
-		for last.Load() < most {
+		for last.Load() < lastGeneration {
 			s.NeedsReplace()
 			var got instancesByID
 			saved, err := s.Load(func(rows []Instance) error {
@@ -938,7 +947,7 @@
 				got.apply(rows)
 				return nil
 			})
-			if want := at(saved.Generation); err != nil || !maps.Equal(got, newInstancesByID(want)) {
+			if want := listAt(saved.Generation); err != nil || !maps.Equal(got, newInstancesByID(want)) {
 				done <- fmt.Errorf("%+v with %d entries, %v", saved, len(got), err)
 				return
 			}
@@ -950,25 +959,26 @@
 			t.Error(err)
 		}
 	}
-	mustHaveSaved(t, dir, "o:1", most, newInstancesByID(at(most)))
+	mustHaveSaved(t, dir, "o:1", lastGeneration, newInstancesByID(listAt(lastGeneration)))
 }
 
-// peakHeapInUse is the most heap in use while f runs, beyond what was in use before.
-func peakHeapInUse(f func(look func())) uint64 {
+// peakHeapInUse returns the largest heap in use at the times when f calls sample, beyond that before f.
+func peakHeapInUse(f func(sample func())) uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	before, most := m.HeapInuse, uint64(0)
+	before, peak := m.HeapInuse, uint64(0)
 	f(func() {
 		runtime.ReadMemStats(&m)
 		if m.HeapInuse > before {
-			most = max(most, m.HeapInuse-before)
+			peak = max(peak, m.HeapInuse-before)
 		}
 	})
-	return most
+	return peak
 }
 
-// The bound of the list: rows come and go in a stream, and heap stays far under what they take as a whole.
+// A list of 200,000 rows, the upper bound of its size, is written and read as a stream: the heap stays far below the
+// size of the list.
 func TestStoreLargeListHeapAndFileSize(t *testing.T) {
 	const n = 200_000
 	all := func(yield func(Instance) bool) {
@@ -1013,12 +1023,12 @@
 		t.Fatalf("%+v, %v, %d rows", saved, err, next)
 	}
 	read := time.Since(start)
-	writing := peakHeapInUse(func(look func()) {
+	writing := peakHeapInUse(func(sample func()) {
 		err := s.Replace("o:1", 10, func(yield func(Instance) bool) {
 			i := 0
 			for in := range all {
 				if i++; i%4096 == 0 {
-					look()
+					sample()
 				}
 				if !yield(in) {
 					return
@@ -1029,18 +1039,18 @@
 			t.Error(err)
 		}
 	})
-	reading := peakHeapInUse(func(look func()) {
+	reading := peakHeapInUse(func(sample func()) {
 		chunks := 0
 		if _, err := OpenStore(dir, largeBudgetBytes, discardLogger).Load(func([]Instance) error {
 			if chunks++; chunks%8 == 0 {
-				look()
+				sample()
 			}
 			return nil
 		}); err != nil {
 			t.Error(err)
 		}
 	})
-	t.Logf("%d rows, %d bytes of JSON: %d bytes on disk (%.1f a row), written in %v, checked in %v, read and compared in %v; "+
+	t.Logf("%d rows, %d bytes of JSON: %d bytes on disk (%.1f per row), written in %v, checked in %v, read and compared in %v; "+
 		"peak heap beyond the start %.1f MB writing, %.1f MB reading", n, raw, bytes, float64(bytes)/n, wrote, checked, read,
 		float64(writing)/1e6, float64(reading)/1e6)
 	if most := uint64(16 << 20); writing > most || reading > most {
@@ -1055,7 +1065,8 @@
 	for _, n := range []int{1000, 10_000, 100_000, 200_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := b.TempDir()
-			if err := OpenStore(dir, largeBudgetBytes, discardLogger).Replace("o:1", 1, slices.Values(sampleInstances(0, n))); err != nil {
+			if err := OpenStore(dir, largeBudgetBytes, discardLogger).Replace("o:1", 1,
+				slices.Values(sampleInstances(0, n))); err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
@@ -1083,7 +1094,7 @@
 	}
 }
 
-// An update costs what it holds, not what the list holds.
+// The cost of an update depends on its size, not on that of the list.
 func BenchmarkStoreAppend(b *testing.B) {
 	for _, n := range []int{1000, 200_000} {
 		for _, k := range []int{1, 100} {
