--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -1,3 +1,5 @@
+// This file reads answers of discovery as a stream, row by row, and reduces them to what differs from the directory.
+
 package discovery
 
 import (
@@ -10,16 +12,16 @@
 	"crossdeal/logic"
 )
 
-const maxValueBytes = 1 << 20 // bytes of one value in an answer
+const maxValueBytes = 1 << 20 // of one value in an answer
 
-// answer is what has been read of an answer of discovery.
+// answer is an answer of discovery, reduced to an update.
 type answer struct {
 	Update
-	rowCount     int  // rows that it had
-	hasInstances bool // it had a list of instances
+	rowCount     int  // number of its rows
+	hasInstances bool // it has a list of instances, which may be empty
 }
 
-// reusableText keeps the bytes of a string for the time of one row.
+// reusableText holds a string of one row; its memory is reused for the next row.
 type reusableText []byte
 
 func (t *reusableText) UnmarshalText(b []byte) error {
@@ -27,7 +29,7 @@
 	return nil
 }
 
-// instanceBuffer is an Instance that is being read: it is used again for the next one.
+// instanceBuffer is the row that is being read. It is reused for the next one.
 type instanceBuffer struct {
 	ID          reusableText `json:"instanceId"`
 	HostPort    reusableText `json:"hostPort"`
@@ -43,7 +45,7 @@
 	r.Destination, r.Weight = 0, 0
 }
 
-// Diff turns a list into an update.
+// Diff returns what a list changes in the directory.
 func (d *Directory) Diff(l List) Update {
 	c := d.newComparison()
 	var r instanceBuffer
@@ -56,14 +58,14 @@
 	return c.toUpdate(l.Generation, l.Reset)
 }
 
-// readAnswer reads an answer of so many rows at most, row by row, its fields in any order, and compares it with the directory. It holds no more of it
-// than the rows that differ.
-func (d *Directory) readAnswer(in io.Reader, most int) (*answer, error) {
-	bound := &valueLimitReader{input: in}
-	dec := json.NewDecoder(bound)
-	bound.decoder = dec
+// readAnswer reads an answer row by row and compares it with the directory. The fields may come in any order. Only the
+// rows that differ are kept in memory. More than maxRows rows are an error; 0 is no limit.
+func (d *Directory) readAnswer(input io.Reader, maxRows int) (*answer, error) {
+	limited := &valueLimitReader{input: input}
+	dec := json.NewDecoder(limited)
+	limited.decoder = dec
 	a, c := &answer{}, d.newComparison()
-	c.maxRows = most
+	c.maxRows = maxRows
 	if err := expectDelim(dec, json.Delim('{')); err != nil {
 		return nil, err
 	}
@@ -92,10 +94,10 @@
 		return nil, err
 	}
 	if whole && a.hasInstances && c.rowCount > 0 && c.rowCount == c.unusableRows {
-		return nil, fmt.Errorf("none of its %d rows makes sense", c.rowCount)
+		return nil, fmt.Errorf("none of its %d rows is well-formed", c.rowCount)
 	}
 	a.rowCount = c.rowCount
-	if !whole || a.hasInstances { // else there is nothing to compare with
+	if !whole || a.hasInstances { // otherwise there is nothing to compare
 		a.Update = c.toUpdate(generation, whole)
 	} else {
 		a.Generation, a.Whole = generation, whole
@@ -114,14 +116,14 @@
 	return nil
 }
 
-// skipValue passes over one value of any size.
+// skipValue skips one value of any size.
 func skipValue(dec *json.Decoder) error {
 	for depth := 0; ; {
-		t, err := dec.Token()
+		token, err := dec.Token()
 		if err != nil {
 			return err
 		}
-		switch t {
+		switch token {
 		case json.Delim('{'), json.Delim('['):
 			depth++
 		case json.Delim('}'), json.Delim(']'):
@@ -133,7 +135,8 @@
 	}
 }
 
-// valueLimitReader is a reader that fails once the decoder would have to keep too much for one value.
+// valueLimitReader fails once the decoder has read more than maxValueBytes that it could not consume: a value that is
+// too large.
 type valueLimitReader struct {
 	input     io.Reader
 	decoder   *json.Decoder
@@ -149,31 +152,33 @@
 	return n, err
 }
 
-// comparison finds out what an answer changes in the directory.
+// comparison collects what an answer changes in the directory.
 type comparison struct {
-	directory       *Directory
-	seenIDs         map[logic.EndpointID]*[recordsPerPage / 64]uint64 // a bit for each number that the answer has, by number / pageSize
-	changedRows     []Instance                                        // what differs ...
-	changedIndex    map[string]int32                                  // ... and where it is there
-	internedStrings map[string]string                                 // zones and kinds, each kept once
+	directory *Directory
+	// A bit for each endpoint number that the answer names, by number / recordsPerPage.
+	seenIDs         map[logic.EndpointID]*[recordsPerPage / 64]uint64
+	changedRows     []Instance        // rows that differ from the directory
+	changedIndex    map[string]int32  // index in changedRows by endpoint name
+	internedStrings map[string]string // zones and kinds, one copy of each
 	rowCount        int
-	maxRows         int // rows that the answer may have; 0 for no limit
+	maxRows         int // 0 for no limit
 	unusableRows    int
 	duplicateRows   int
 }
 
 func (d *Directory) newComparison() *comparison {
-	return &comparison{directory: d, seenIDs: map[logic.EndpointID]*[recordsPerPage / 64]uint64{}, changedIndex: map[string]int32{}, internedStrings: map[string]string{}}
+	return &comparison{directory: d, seenIDs: map[logic.EndpointID]*[recordsPerPage / 64]uint64{},
+		changedIndex: map[string]int32{}, internedStrings: map[string]string{}}
 }
 
-// readRows takes a list of instances; false if there is none.
+// readRows reads the list of instances. It returns false if the value is null.
 func (c *comparison) readRows(dec *json.Decoder) (bool, error) {
-	t, err := dec.Token()
-	if err != nil || t == nil {
+	token, err := dec.Token()
+	if err != nil || token == nil {
 		return false, err
 	}
-	if t != json.Delim('[') {
-		return false, fmt.Errorf("instances are %v", t)
+	if token != json.Delim('[') {
+		return false, fmt.Errorf("instances are not a list but %v", token)
 	}
 	var r instanceBuffer
 	for dec.More() {
@@ -182,49 +187,50 @@
 		}
 		r.reset()
 		err := dec.Decode(&r)
-		var wrong *json.UnmarshalTypeError
-		if err != nil && !errors.As(err, &wrong) {
+		var typeErr *json.UnmarshalTypeError
+		if err != nil && !errors.As(err, &typeErr) {
 			return true, err
 		}
-		c.addRow(&r, err == nil) // what has a field of a wrong kind, or a number out of range, has been read to its end
+		c.addRow(&r, err == nil) // a row with a field of a wrong type, or a number out of range, has been read to its end
 	}
 	_, err = dec.Token()
 	return true, err
 }
 
-// addRow takes a row. One that makes no sense leaves what it names as it was.
-func (c *comparison) addRow(r *instanceBuffer, sound bool) {
+// addRow compares a row with the directory. A malformed row leaves the endpoint that it names unchanged.
+func (c *comparison) addRow(r *instanceBuffer, valid bool) {
 	c.rowCount++
 	c.directory.mu.RLock()
 	defer c.directory.mu.RUnlock()
 	id, known := c.directory.idsByName[string(r.ID)]
-	var old *record
+	var current *record
 	if known {
-		old = c.directory.record(id)
+		current = c.directory.record(id)
 	}
-	gone := string(r.Lifecycle) == "removed"
-	if !sound || len(r.ID) == 0 || r.Destination < 0 || !gone && (old == nil || old.address == "") && !isValidHostPort(string(r.HostPort)) {
+	removed := string(r.Lifecycle) == "removed"
+	if !valid || len(r.ID) == 0 || r.Destination < 0 ||
+		!removed && (current == nil || current.address == "") && !isValidHostPort(string(r.HostPort)) {
 		c.unusableRows++
 		if known {
 			c.markSeen(id)
 		}
 		return
 	}
-	place, staged := c.changedIndex[string(r.ID)]
+	index, staged := c.changedIndex[string(r.ID)]
 	if known && !c.markSeen(id) || staged {
 		c.duplicateRows++
 	}
 	switch {
 	case staged:
-		c.changedRows[place] = c.toInstance(r)
-	case c.directory.differs(old, r):
+		c.changedRows[index] = c.toInstance(r)
+	case c.directory.differs(current, r):
 		in := c.toInstance(r)
 		c.changedIndex[in.ID] = int32(len(c.changedRows))
 		c.changedRows = append(c.changedRows, in)
 	}
 }
 
-// markSeen notes that the answer has a number; false if it had it already.
+// markSeen notes that the answer names an endpoint. It returns false if the answer has already named it.
 func (c *comparison) markSeen(id logic.EndpointID) bool {
 	bits := c.seenIDs[id/recordsPerPage]
 	if bits == nil {
@@ -232,32 +238,35 @@
 		c.seenIDs[id/recordsPerPage] = bits
 	}
 	word, bit := &bits[id%recordsPerPage/64], uint64(1)<<(id%64)
-	was := *word&bit != 0
+	alreadySeen := *word&bit != 0
 	*word |= bit
-	return !was
+	return !alreadySeen
 }
 
+// hasSeen reports whether the answer names an endpoint.
 func (c *comparison) hasSeen(id logic.EndpointID) bool {
 	bits := c.seenIDs[id/recordsPerPage]
 	return bits != nil && bits[id%recordsPerPage/64]&(1<<(id%64)) != 0
 }
 
-// differs says whether a row tells anything new of a record, which may be nil.
-func (d *Directory) differs(old *record, r *instanceBuffer) bool {
-	now := parseLifecycle(string(r.Lifecycle))
-	if old == nil || old.state != now || now == stateUnlisted {
-		return now != stateUnlisted || old != nil && old.state != stateUnlisted
+// differs reports whether a row differs from a record, which may be nil.
+func (d *Directory) differs(current *record, r *instanceBuffer) bool {
+	state := parseLifecycle(string(r.Lifecycle))
+	if current == nil || current.state != state || state == stateUnlisted {
+		return state != stateUnlisted || current != nil && current.state != stateUnlisted
 	}
-	return old.destination != r.Destination || old.weight != r.Weight || !d.zones.matches(old.zoneLabel, string(r.Zone)) ||
-		!d.kinds.matches(old.kindLabel, string(r.Kind)) || old.address != string(r.HostPort) && isValidHostPort(string(r.HostPort))
+	return current.destination != r.Destination || current.weight != r.Weight ||
+		!d.zones.matches(current.zoneLabel, string(r.Zone)) || !d.kinds.matches(current.kindLabel, string(r.Kind)) ||
+		current.address != string(r.HostPort) && isValidHostPort(string(r.HostPort))
 }
 
-// toInstance is a row that is kept.
+// toInstance returns a copy of the row.
 func (c *comparison) toInstance(r *instanceBuffer) Instance {
-	return Instance{ID: string(r.ID), HostPort: string(r.HostPort), Zone: c.intern(r.Zone), Kind: c.intern(r.Kind), Destination: r.Destination,
-		Lifecycle: parseLifecycle(string(r.Lifecycle)).lifecycle(), Weight: r.Weight}
+	return Instance{ID: string(r.ID), HostPort: string(r.HostPort), Zone: c.intern(r.Zone), Kind: c.intern(r.Kind),
+		Destination: r.Destination, Lifecycle: parseLifecycle(string(r.Lifecycle)).lifecycle(), Weight: r.Weight}
 }
 
+// intern returns b as a string, one copy for equal values, of up to maxLabels different ones.
 func (c *comparison) intern(b []byte) string {
 	s, ok := c.internedStrings[string(b)]
 	if !ok {
@@ -269,24 +278,25 @@
 	return s
 }
 
-// toUpdate is what the answer changes. A whole list takes off what it does not have.
+// toUpdate returns what the answer changes. A whole list removes the endpoints that it does not name.
 func (c *comparison) toUpdate(generation int64, whole bool) Update {
-	u := Update{Generation: generation, Whole: whole, Rows: c.changedRows, UnusableRows: c.unusableRows, DuplicateRows: c.duplicateRows}
+	u := Update{Generation: generation, Whole: whole, Rows: c.changedRows, UnusableRows: c.unusableRows,
+		DuplicateRows: c.duplicateRows}
 	if !whole {
 		return u
 	}
 	c.directory.mu.RLock()
 	defer c.directory.mu.RUnlock()
-	var gone []Instance
+	var removed []Instance
 	for id, r := range c.directory.records() {
 		if r.state != stateUnlisted && !c.hasSeen(id) {
 			in := c.directory.instance(r)
 			in.Lifecycle = "removed"
-			gone = append(gone, in)
+			removed = append(removed, in)
 		}
 	}
-	if len(gone) > 0 {
-		u.Rows = append(gone, u.Rows...)
+	if len(removed) > 0 {
+		u.Rows = append(removed, u.Rows...)
 	}
 	return u
 }
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -25,7 +25,7 @@
 	return a
 }
 
-// describeRows lists rows as name and lifecycle.
+// describeRows returns the name and lifecycle of each row.
 func describeRows(rows []Instance) string {
 	var out []string
 	for _, in := range rows {
@@ -39,40 +39,42 @@
 {"instanceId":"b","hostPort":"h:2","zone":"z","machineType":"m","cell":1,"lifecycle":"up","weight":2},
 {"instanceId":"c","hostPort":"h:3","zone":"z","machineType":"m","cell":2,"lifecycle":"up","weight":2}]}`
 
-// A whole list comes to the module as what it changes: rows that differ in any field, and those that it lacks.
+// A whole list is reduced to what it changes: rows that differ in any field, and endpoints that it does not name.
 func TestWholeListIsReducedToChanges(t *testing.T) {
 	d := NewDirectory([]string{"z"}, nil)
 	first := mustReadAnswer(t, d, strings.NewReader(threeInstances))
 	if got := describeRows(first.Rows); got != "a up, b up, c up" || !first.Whole || first.rowCount != 3 {
-		t.Fatalf("at first %s, %+v", got, first)
+		t.Fatalf("first list: %s, %+v", got, first)
 	}
 	d.Apply(&first.Update, time.Now())
-	if same := mustReadAnswer(t, d, strings.NewReader(threeInstances)); len(same.Rows) != 0 || !same.Whole || same.rowCount != 3 {
-		t.Errorf("the same again: %+v", same)
+	if same := mustReadAnswer(t, d, strings.NewReader(threeInstances)); len(same.Rows) != 0 || !same.Whole ||
+		same.rowCount != 3 {
+		t.Errorf("the same list again: %+v", same)
 	}
 	b := `{"instanceId":"b","hostPort":"h:2","zone":"z","machineType":"m","cell":1,"lifecycle":"up","weight":2}`
 	for _, x := range [][2]string{{`"h:2"`, `"h:4"`}, {`"cell":1`, `"cell":3`}, {`"up"`, `"draining"`}, {`"weight":2`, `"weight":3`},
 		{`"z"`, `"y"`}, {`"m"`, `"n"`}} {
 		a := mustReadAnswer(t, d, strings.NewReader(strings.Replace(threeInstances, b, strings.Replace(b, x[0], x[1], 1), 1)))
 		if len(a.Rows) != 1 || a.Rows[0].ID != "b" {
-			t.Errorf("%s for %s: told %s", x[1], x[0], describeRows(a.Rows))
+			t.Errorf("%s for %s: changes %s", x[1], x[0], describeRows(a.Rows))
 		}
 	}
 	less := mustReadAnswer(t, d, strings.NewReader(strings.Replace(threeInstances, b+",\n", "", 1)))
 	if got := describeRows(less.Rows); got != "b removed" {
-		t.Errorf("without b: told %s", got)
+		t.Errorf("without b: changes %s", got)
 	}
 	rows := d.Apply(&less.Update, time.Now())
 	if len(rows) != 1 || rows[0].State != logic.Removed || d.Len() != 2 {
-		t.Errorf("without b: the module is told %+v, %d are listed", rows, d.Len())
+		t.Errorf("without b: entries %+v, %d are listed", rows, d.Len())
 	}
 }
 
-// Generation and reset may come after the rows, the text may be indented and come in pieces, and what is not known is
-// passed over.
+// Generation and reset may come after the rows, the text may be indented and arrive in pieces, and unknown fields are
+// skipped.
 func TestFieldsInAnyOrder(t *testing.T) {
 	d := NewDirectory(nil, nil)
-	applyList(d, List{Reset: true, Instances: []Instance{{ID: "a", HostPort: "h:1", Lifecycle: "up"}, {ID: "x", HostPort: "h:9", Lifecycle: "up"}}})
+	applyList(d, List{Reset: true, Instances: []Instance{{ID: "a", HostPort: "h:1", Lifecycle: "up"},
+		{ID: "x", HostPort: "h:9", Lifecycle: "up"}}})
 	text := `{"more":[{"instances":[1,{"a":null}]},"}"],"instances":[{"lifecycle":"up","hostPort":"h:1","instanceId":"a","startedAtMs":0},
 	{"hostPort":"h:2","instanceId":"b","tags":{"x":[1,2]},"lifecycle":"up"}],"reset":true,"generation":7}`
 	var value any
@@ -83,17 +85,17 @@
 	for _, text := range []string{text, string(indented)} {
 		a := mustReadAnswer(t, d, iotest.OneByteReader(strings.NewReader(text)))
 		if got := describeRows(a.Rows); got != "x removed, b up" || a.Generation != 7 || !a.Whole || a.UnusableRows != 0 {
-			t.Errorf("told %s, %+v", got, a)
+			t.Errorf("changes %s, %+v", got, a)
 		}
 	}
 }
 
-// Wherever an answer breaks off, it is no list, and the directory stays as it was.
+// An answer that is truncated at any byte is rejected and leaves the directory unchanged.
 func TestTruncatedAnswersAreRejected(t *testing.T) {
 	d := NewDirectory(nil, nil)
 	for i := range threeInstances {
 		if _, err := d.readAnswer(strings.NewReader(threeInstances[:i]), 0); err == nil {
-			t.Errorf("%q is taken", threeInstances[:i])
+			t.Errorf("%q is accepted", threeInstances[:i])
 		}
 	}
 	if d.Len() != 0 || d.lastID != 0 {
@@ -101,8 +103,8 @@
 	}
 }
 
-// Rows that make no sense are counted and leave what they name as it was, also in a whole list; of rows with one id the
-// last one wins; a list of which no row makes sense is none.
+// Malformed rows are counted and leave the endpoints that they name unchanged, also in a whole list. Of several rows
+// with the same id the last one counts. A whole list with only malformed rows is rejected.
 func TestMalformedRowsInAnswer(t *testing.T) {
 	row := func(id, rest string) string {
 		return fmt.Sprintf(`{"instanceId":%q,"hostPort":"h:7","lifecycle":"up",%s}`, id, rest)
@@ -122,20 +124,23 @@
 		d := NewDirectory([]string{"z"}, nil)
 		first := mustReadAnswer(t, d, strings.NewReader(threeInstances))
 		d.Apply(&first.Update, time.Now())
-		a := mustReadAnswer(t, d, strings.NewReader(`{"generation":2,"reset":true,"instances":[`+x.rows+","+row("ok", `"cell":1`)+`]}`))
+		a := mustReadAnswer(t, d, strings.NewReader(`{"generation":2,"reset":true,"instances":[`+
+			x.rows+","+row("ok", `"cell":1`)+`]}`))
 		if got := describeRows(a.Rows); got != x.want || a.UnusableRows != x.unusable || a.DuplicateRows != x.duplicates {
-			t.Errorf("%s: told %s, %d unusable, %d duplicates", x.rows, got, a.UnusableRows, a.DuplicateRows)
+			t.Errorf("%s: changes %s, %d unusable, %d duplicates", x.rows, got, a.UnusableRows, a.DuplicateRows)
 		}
-		if i := slices.IndexFunc(a.Rows, func(in Instance) bool { return in.ID == "a" && in.Lifecycle == "up" }); i >= 0 && a.Rows[i].Destination != 6 {
+		if i := slices.IndexFunc(a.Rows, func(in Instance) bool { return in.ID == "a" && in.Lifecycle == "up" }); i >= 0 &&
+			a.Rows[i].Destination != 6 {
 			t.Errorf("%s: a is %+v, want the last row", x.rows, a.Rows[i])
 		}
-		if a, err := d.readAnswer(strings.NewReader(`{"generation":2,"reset":true,"instances":[7,{"hostPort":"h:1"}]}`), 0); err == nil {
-			t.Errorf("a list without a row that makes sense is taken: %+v", a)
+		if a, err := d.readAnswer(strings.NewReader(
+			`{"generation":2,"reset":true,"instances":[7,{"hostPort":"h:1"}]}`), 0); err == nil {
+			t.Errorf("a list with only malformed rows is accepted: %+v", a)
 		}
 	}
 }
 
-// A value that never ends is given up before much of it is kept.
+// An answer with a value that never ends is abandoned before much of the value is kept in memory.
 func TestEndlessValueIsRejected(t *testing.T) {
 	for _, begin := range []string{`{"instances":[{"instanceId":"`, `{"`, `{"more":"`, `{"generation":`, `{"instances":[{"x":[`} {
 		text := &countingReader{input: io.MultiReader(strings.NewReader(begin), endlessReader("1,"[:1]))}
@@ -165,19 +170,19 @@
 	return n, err
 }
 
-// Whatever lists follow each other, the module knows the same after the reduced ones as after the ones that came.
+// For any sequence of lists, the decision logic gets to the same state with the reduced lists as with the full ones.
 func TestReducedListsGiveSameState(t *testing.T) {
-	type told struct {
-		zone, kind int
-		dest       int64
-		state      logic.EndpointState
-		weight     float64
-		addr       string
+	type endpointView struct {
+		zone, kind  int
+		destination int64
+		state       logic.EndpointState
+		weight      float64
+		address     string
 	}
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		d := NewDirectory([]string{"z0", "z1"}, []logic.Kind{{Name: "m0"}, {Name: "m1"}})
-		want, got := map[string]told{}, map[string]told{}
+		want, got := map[string]endpointView{}, map[string]endpointView{}
 		for range 40 {
 			l := List{Generation: 1, Reset: rng.IntN(3) == 0}
 			for range rng.IntN(12) {
@@ -196,9 +201,9 @@
 				if in.Lifecycle == "removed" {
 					delete(want, in.ID)
 				} else if in.Lifecycle == "up" {
-					want[in.ID] = told{zone, kind, in.Destination, logic.Ready, in.Weight, in.HostPort}
+					want[in.ID] = endpointView{zone, kind, in.Destination, logic.Ready, in.Weight, in.HostPort}
 				} else {
-					want[in.ID] = told{zone, kind, in.Destination, logic.Draining, in.Weight, in.HostPort}
+					want[in.ID] = endpointView{zone, kind, in.Destination, logic.Draining, in.Weight, in.HostPort}
 				}
 			}
 			text, _ := json.Marshal(l)
@@ -209,29 +214,30 @@
 				names[id] = name
 			}
 			for _, row := range rows {
-				to, _ := d.Target(row.Endpoint)
+				target, _ := d.Target(row.Endpoint)
 				if row.State == logic.Removed {
 					delete(got, names[row.Endpoint])
 				} else {
-					got[names[row.Endpoint]] = told{row.Zone, row.Kind, row.Destination, row.State, row.Nominal, to.Address}
+					got[names[row.Endpoint]] = endpointView{row.Zone, row.Kind, row.Destination, row.State, row.Nominal, target.Address}
 				}
 			}
 			if !maps.Equal(got, want) || d.Len() != len(want) {
-				t.Fatalf("seed %d: the module knows %v, want %v", seed, got, want)
+				t.Fatalf("seed %d: the decision logic has %v, want %v", seed, got, want)
 			}
-			if again := mustReadAnswer(t, d, strings.NewReader(string(text))); l.Reset && again.DuplicateRows == 0 && len(again.Rows) != 0 {
-				t.Fatalf("seed %d: told again %s", seed, describeRows(again.Rows))
+			if again := mustReadAnswer(t, d, strings.NewReader(string(text))); l.Reset && again.DuplicateRows == 0 &&
+				len(again.Rows) != 0 {
+				t.Fatalf("seed %d: the same list again changes %s", seed, describeRows(again.Rows))
 			}
 		}
-		all := NewDirectory([]string{"z0", "z1"}, []logic.Kind{{Name: "m0"}, {Name: "m1"}})
-		u := all.Diff(List{Reset: true, Instances: slices.Collect(d.Listed())})
-		if all.Apply(&u, time.Now()); all.Len() != len(want) || len(u.Rows) != len(want) {
-			t.Fatalf("seed %d: a copy has %d of %d", seed, all.Len(), len(want))
+		copied := NewDirectory([]string{"z0", "z1"}, []logic.Kind{{Name: "m0"}, {Name: "m1"}})
+		u := copied.Diff(List{Reset: true, Instances: slices.Collect(d.Listed())})
+		if copied.Apply(&u, time.Now()); copied.Len() != len(want) || len(u.Rows) != len(want) {
+			t.Fatalf("seed %d: a copy has %d of %d", seed, copied.Len(), len(want))
 		}
 	}
 }
 
-// writeWholeList writes a whole list of so many entries, one destination each, as discovery would.
+// writeWholeList writes a whole list as discovery would, with two entries per destination.
 func writeWholeList(w io.Writer, generation int64, entries int) {
 	fmt.Fprintf(w, `{"generation":%d,"reset":true,"instances":[`, generation)
 	for i := range entries {
@@ -244,8 +250,8 @@
 	io.WriteString(w, "]}")
 }
 
-// An answer of any size is read as it comes: what a whole list that is known takes beside the directory does not grow
-// with it.
+// An answer is read as a stream: the memory that a known whole list takes, beyond the directory, does not grow with its
+// size.
 func TestKnownListIsReadInBoundedMemory(t *testing.T) {
 	d := NewDirectory(nil, nil)
 	var text strings.Builder
@@ -264,7 +270,7 @@
 	}
 }
 
-// What one change costs does not depend on how much is listed.
+// The cost of one change does not depend on the size of the list.
 func TestCostOfOneChangeIsIndependentOfListSize(t *testing.T) {
 	cost := func(entries int) float64 {
 		d := NewDirectory(nil, nil)
@@ -286,7 +292,7 @@
 	}
 }
 
-// BenchmarkReadWholeList reads a whole list of 200,000 entries that are new, and one that is known.
+// BenchmarkReadWholeList reads a whole list of 200,000 entries, all new or all known.
 func BenchmarkReadWholeList(b *testing.B) {
 	var text strings.Builder
 	writeWholeList(&text, 1, 200000)
@@ -312,7 +318,7 @@
 	}
 }
 
-// peakHeap watches the heap's growth until the returned function is called, which says by how many bytes at most.
+// peakHeap samples the heap until the returned function is called, which returns its largest growth in bytes.
 func peakHeap(b *testing.B) func() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -352,7 +358,8 @@
 			d.Apply(&a.Update, time.Now())
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				a := mustReadAnswer(b, d, strings.NewReader(fmt.Sprintf(`{"generation":2,"reset":false,"instances":[{"instanceId":"s-%08x","hostPort":"h:1","cell":%d,"lifecycle":"up"}]}`, i%entries, i)))
+				a := mustReadAnswer(b, d, strings.NewReader(fmt.Sprintf(
+					`{"generation":2,"reset":false,"instances":[{"instanceId":"s-%08x","hostPort":"h:1","cell":%d,"lifecycle":"up"}]}`, i%entries, i)))
 				if rows := d.Apply(&a.Update, time.Now()); len(rows) != 1 {
 					b.Fatalf("%d rows", len(rows))
 				}
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -9,7 +9,7 @@
 	"testing/iotest"
 )
 
-// The form is what files on disk have: it must not change.
+// Files on disk have this format: it must not change.
 func TestAppendFormat(t *testing.T) {
 	const want = "\x03\x00\x00\x00\xc2A$5abc\x01\x00\x00\x00\x8d\xef\x02\xd2\x00"
 	if got := Append(Append(nil, []byte("abc")), []byte{0}); string(got) != want {
@@ -17,7 +17,7 @@
 	}
 }
 
-// readAll returns the bodies, how many bytes were whole, and the error that ended it.
+// readAll returns the bodies, the number of bytes in whole records, and the error at the end.
 func readAll(log io.Reader) ([]string, int64, error) {
 	var bodies []string
 	r := NewReader(log, 100)
@@ -33,7 +33,7 @@
 	}
 }
 
-// Whatever is cut off or changed, what stands before it is read, and nothing else.
+// Wherever the log is truncated or changed, the reader returns the records before that place and no others.
 func TestReaderStopsAtTornRecord(t *testing.T) {
 	var log []byte
 	ends := []int{0}
@@ -42,19 +42,19 @@
 		log = Append(log, []byte(body))
 		ends = append(ends, len(log))
 	}
-	check := func(how string, text []byte, n int, clean bool) {
+	check := func(change string, text []byte, n int, clean bool) {
 		t.Helper()
 		for _, r := range []io.Reader{bytes.NewReader(text), iotest.OneByteReader(bytes.NewReader(text))} {
 			got, whole, err := readAll(r)
 			if fmt.Sprint(got) != fmt.Sprint(bodies[:n]) || whole != int64(ends[n]) {
-				t.Fatalf("%s: %q, %d bytes whole", how, got, whole)
+				t.Fatalf("%s: bodies %q, %d bytes in whole records", change, got, whole)
 			}
 			if clean != (err == io.EOF) || !clean && !errors.Is(err, ErrTorn) {
-				t.Fatalf("%s: %v", how, err)
+				t.Fatalf("%s: %v", change, err)
 			}
 		}
 	}
-	before := func(at int) (n int) { // whole records that end at or before it
+	before := func(at int) (n int) { // whole records that end at or before at
 		for n+1 < len(ends) && ends[n+1] <= at {
 			n++
 		}
@@ -73,7 +73,7 @@
 	check("too long", Append(bytes.Clone(log), make([]byte, 101)), 3, false)
 }
 
-// An error of reading is no torn record: what is behind it may well be whole.
+// A read error is not a torn record: the records after it may be whole.
 func TestReaderReturnsReadErrors(t *testing.T) {
 	log := Append(Append(nil, []byte("a")), []byte("b"))
 	for at := range len(log) {
