--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -1,6 +1,6 @@
 package node
 
-// What the module has decided is written to the journal and then done.
+// Executing the actions of the decision logic: they are written to the journal first and then carried out.
 
 import (
 	"context"
@@ -11,18 +11,19 @@
 	"crossdeal/logic"
 )
 
-// executeActions writes the journal and then acts.
+// executeActions writes the records of a step in one append, then answers clients and carries the actions out. A
+// message gets its +OK, and a call is made, only once their records are written.
 func (n *Node) executeActions(work context.Context, actions []logic.Action) {
 	answers := n.immediateAnswers(actions)
 	for i, p := range n.newPuts {
-		again := slices.ContainsFunc(n.newPuts[:i], func(x putEvent) bool { return x.message.ID == p.message.ID })
-		if answers[p.message.ID] == "" && !again {
+		duplicate := slices.ContainsFunc(n.newPuts[:i], func(other putEvent) bool { return other.message.ID == p.message.ID })
+		if answers[p.message.ID] == "" && !duplicate {
 			m := p.message
 			n.pendingRecords = append(n.pendingRecords, record{Op: opAccept, Entry: &Entry{Message: m}})
 		}
 	}
-	kept := map[string]*endpointConn{} // what the calls of this step use
-	denied := map[string]bool{}        // calls that are not made
+	idleConns := map[string]*endpointConn{} // idle connections that the calls of this step use
+	denied := map[string]bool{}             // calls that the guard has denied
 	for _, a := range actions {
 		switch a := a.(type) {
 		case logic.CallOut:
@@ -31,15 +32,15 @@
 				continue
 			}
 			if conn := n.transport.takeIdle(a.Endpoint, n.target(a.Endpoint).Address); conn != nil {
-				kept[a.ID] = conn
+				idleConns[a.ID] = conn
 				n.pendingRecords = append(n.pendingRecords, n.sendRecord(a.ID, a.Endpoint))
 			} else {
 				n.pendingRecords = append(n.pendingRecords, record{Op: opConnect, ID: a.ID})
 			}
 		case logic.Refuse, logic.Fail:
-			x := noticeOf(a)
-			if answers[x.ID] == "" && n.journal.Entry(x.ID) != nil {
-				n.pendingRecords = append(n.pendingRecords, record{Op: opEndWithNotice, ID: x.ID, Notice: &x})
+			notice := noticeOf(a)
+			if answers[notice.ID] == "" && n.journal.Entry(notice.ID) != nil {
+				n.pendingRecords = append(n.pendingRecords, record{Op: opEndWithNotice, ID: notice.ID, Notice: &notice})
 			}
 		}
 	}
@@ -53,7 +54,7 @@
 		case answer != "":
 			n.trace.notAccepted(p.message.ID, answer)
 			p.answer <- answer
-		case err != nil: // not written, so not taken on
+		case err != nil: // not journaled, so not accepted
 			p.answer <- busyAnswer(0)
 			n.dropUnaccepted(p.message.ID)
 			n.nextEvents = append(n.nextEvents, logic.ClientGone{ID: p.message.ID})
@@ -64,15 +65,15 @@
 	}
 	n.newPuts = nil
 	for _, a := range actions {
-		if out, ok := a.(logic.CallOut); ok && denied[out.ID] {
-			n.reportDeniedCall(out)
+		if call, ok := a.(logic.CallOut); ok && denied[call.ID] {
+			n.reportDeniedCall(call)
 			continue
 		}
-		n.executeAction(work, a, answers, kept, err == nil)
+		n.executeAction(work, a, answers, idleConns, err == nil)
 	}
 }
 
-// reportDeniedCall answers the module for a call that the guard has stopped: it was never sent.
+// reportDeniedCall reports a call that the guard has denied to the decision logic, as not sent.
 func (n *Node) reportDeniedCall(a logic.CallOut) {
 	h := n.held[a.ID]
 	ev := replyEvent{&call{id: a.ID, attempt: h.attempts, endpoint: a.Endpoint, state: new(atomic.Int32)}, callResult{outcome: logic.NotSent}, 0}
@@ -80,25 +81,25 @@
 	time.AfterFunc(retryDelay, func() { n.events <- ev })
 }
 
-func (n *Node) executeAction(work context.Context, a logic.Action, answers map[string]string, kept map[string]*endpointConn, written bool) {
+func (n *Node) executeAction(work context.Context, a logic.Action, answers map[string]string, idleConns map[string]*endpointConn, journaled bool) {
 	switch a := a.(type) {
 	case logic.CallOut:
-		n.startCall(work, a, kept[a.ID], written)
+		n.startCall(work, a, idleConns[a.ID], journaled)
 	case logic.Cancel:
 		if h := n.held[a.ID]; h != nil && h.cancelCall != nil && h.attempts-1 == a.Attempt {
 			n.trace.cancelled(a)
 			h.cancelCall(nil)
 		}
 	case logic.Refuse, logic.Fail:
-		x := noticeOf(a)
-		if answers[x.ID] != "" {
-			n.dropUnaccepted(x.ID)
+		notice := noticeOf(a)
+		if answers[notice.ID] != "" {
+			n.dropUnaccepted(notice.ID)
 			return
 		}
-		if h := n.held[x.ID]; h != nil && !h.ended {
-			n.trace.ended(x)
-			n.endMessage(x.ID, h)
-			n.notices.add(x)
+		if h := n.held[notice.ID]; h != nil && !h.ended {
+			n.trace.ended(notice)
+			n.endMessage(notice.ID, h)
+			n.notices.add(notice)
 		}
 	case logic.SetTimer:
 		ev := logic.TimerExpired{Token: a.Token}
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -1,6 +1,6 @@
 package node
 
-// Attempts: calls to endpoints, the leave to write them, and those that are held back.
+// Attempts: starting calls to endpoints, the permission to write them, and withholding those that are still connecting.
 
 import (
 	"context"
@@ -10,82 +10,84 @@
 	"crossdeal/logic"
 )
 
-// handleWriteRequest lets a call be written once the journal has it, unless it has been called off meanwhile.
-func (n *Node) handleWriteRequest(x writeRequest) {
-	if !n.permitWrite(x.call) {
-		n.trace.withheld(x.call)
-		x.answer <- false
+// handleWriteRequest permits a call to be written once the journal has its opSend record, unless the call has been
+// cancelled or a rule forbids it meanwhile.
+func (n *Node) handleWriteRequest(req writeRequest) {
+	if !n.permitWrite(req.call) {
+		n.trace.withheld(req.call)
+		req.answer <- false
 		return
 	}
-	err := n.journal.Append([]record{n.sendRecord(x.call.id, x.call.endpoint)})
+	err := n.journal.Append([]record{n.sendRecord(req.call.id, req.call.endpoint)})
 	if err != nil {
 		n.log.Error("journal", "err", err)
-		time.AfterFunc(retryDelay, func() { x.answer <- false }) // a full disk, say: room may come
+		time.AfterFunc(retryDelay, func() { req.answer <- false }) // a full disk may have space later
 		return
 	}
-	x.answer <- true
+	req.answer <- true
 }
 
 func (n *Node) sendRecord(id string, ep logic.EndpointID) record {
 	return record{Op: opSend, ID: id, SentAt: n.clock.NowMicros(), Zone: n.target(ep).ZoneIndex}
 }
 
-// requestWritePermission asks the loop whether a call may be written, until ctx is over.
-func (n *Node) requestWritePermission(ctx context.Context, in *call) bool {
+// requestWritePermission asks the loop whether a call may be written. It returns false once ctx is done.
+func (n *Node) requestWritePermission(ctx context.Context, c *call) bool {
 	answer := make(chan bool, 1)
 	select {
-	case n.writeRequests <- writeRequest{in, answer}:
+	case n.writeRequests <- writeRequest{c, answer}:
 	case <-ctx.Done():
 		return false
 	}
-	return <-answer // it comes, after a pause at the latest
+	return <-answer // the loop always answers, after retryDelay at the latest
 }
 
-// startCall makes an attempt, on a kept connection if there is one. Without its record in the journal it is not made.
-func (n *Node) startCall(work context.Context, a logic.CallOut, kept *endpointConn, written bool) {
+// startCall starts an attempt, on idleConn if there is one. If its record is not in the journal, it is reported as not
+// sent after retryDelay.
+func (n *Node) startCall(work context.Context, a logic.CallOut, idleConn *endpointConn, journaled bool) {
 	h := n.held[a.ID]
-	if kept != nil && (h == nil || !written) && !n.transport.putIdle(a.Endpoint, kept) {
-		kept.Close()
+	if idleConn != nil && (h == nil || !journaled) && !n.transport.putIdle(a.Endpoint, idleConn) {
+		idleConn.Close()
 	}
-	if h == nil { // never taken on; the module is still owed its one outcome
+	if h == nil { // never accepted; the decision logic still needs the one outcome of the attempt
 		n.nextEvents = append(n.nextEvents, logic.AttemptResult{ID: a.ID, MessageEnded: true, Endpoint: a.Endpoint, Outcome: logic.NotSent})
 		return
 	}
 	attempt := h.attempts
 	h.attempts++
-	to := n.target(a.Endpoint)
-	in := &call{id: a.ID, attempt: attempt, endpoint: a.Endpoint, addr: to.Address, destination: to.Destination, timeout: toDuration(a.GiveUp),
-		state: new(atomic.Int32), reusedConn: kept}
-	in.mayWrite = func(ctx context.Context) bool { return n.requestWritePermission(ctx, in) }
-	if e := n.journal.Entry(a.ID); e != nil && e.MayHaveRun { // a repeat: by the end of the window it must be written
-		if c := n.cfg.Deployment.Settings.Classes[n.cfg.ClassIndexes[h.message.Class]]; c.Effect == logic.Keyed {
-			in.writeDeadline = n.clock.Time(e.FirstMayHaveRunAt).Add(toDuration(c.Window))
+	target := n.target(a.Endpoint)
+	c := &call{id: a.ID, attempt: attempt, endpoint: a.Endpoint, addr: target.Address, destination: target.Destination,
+		timeout: toDuration(a.GiveUp), state: new(atomic.Int32), reusedConn: idleConn}
+	c.mayWrite = func(ctx context.Context) bool { return n.requestWritePermission(ctx, c) }
+	if e := n.journal.Entry(a.ID); e != nil && e.MayHaveRun { // a repeat: to be written within the window
+		if class := n.cfg.Deployment.Settings.Classes[n.cfg.ClassIndexes[h.message.Class]]; class.Effect == logic.Keyed {
+			c.writeDeadline = n.clock.Time(e.FirstMayHaveRunAt).Add(toDuration(class.Window))
 		}
 	}
-	ctx, stop := context.WithCancelCause(work)
-	h.cancelCall, h.call = stop, in
-	n.trace.send(in, n.listGeneration)
+	ctx, cancel := context.WithCancelCause(work)
+	h.cancelCall, h.call = cancel, c
+	n.trace.send(c, n.listGeneration)
 	var err error
-	if in.request, err = newDeliveryRequest(h.message, to.Address, in.timeout); err != nil || !written {
+	if c.request, err = newDeliveryRequest(h.message, target.Address, c.timeout); err != nil || !journaled {
 		if err != nil {
 			n.log.Error("call", "err", err)
-			if written && kept != nil {
-				kept.Close()
+			if journaled && idleConn != nil {
+				idleConn.Close()
 			}
 		}
-		ev := replyEvent{in, callResult{outcome: logic.NotSent}, 0}
-		time.AfterFunc(retryDelay, func() { n.events <- ev }) // a full disk, say: room may come
+		ev := replyEvent{c, callResult{outcome: logic.NotSent}, 0}
+		time.AfterFunc(retryDelay, func() { n.events <- ev }) // a full disk may have space later
 		return
 	}
-	in.startedAt = time.Now()
+	c.startedAt = time.Now()
 	go func() {
-		r := n.transport.do(ctx, in)
-		n.events <- replyEvent{in, r, time.Since(in.startedAt)}
+		r := n.transport.do(ctx, c)
+		n.events <- replyEvent{c, r, time.Since(c.startedAt)}
 	}()
 }
 
-// withholdCalls keeps calls that are still connecting from being written: what the module decided before it knew better
-// would reach the endpoint long after. They end as never sent.
+// withholdCalls prevents the writing of calls that are still connecting: the decision behind them is outdated, and they
+// would reach the endpoint long after it. They end with the outcome NotSent.
 func (n *Node) withholdCalls(match func(ep logic.EndpointID) bool) {
 	for _, h := range n.held {
 		if h.cancelCall != nil && match(h.call.endpoint) {
@@ -100,22 +102,25 @@
 	}
 }
 
-// withholdCallsForWait holds calls to where a wait was told: the destination, or the one route where routes are apart.
+// withholdCallsForWait withholds calls to where an endpoint asked for a wait: the whole destination, or only that
+// endpoint where the endpoints are separate routes.
 func (n *Node) withholdCallsForWait(ep logic.EndpointID) {
-	to := n.target(ep)
+	target := n.target(ep)
 	kinds := n.cfg.Deployment.Settings.Kinds
-	apart := to.KindIndex >= 0 && to.KindIndex < len(kinds) && kinds[to.KindIndex].SeparateRoutes
-	n.withholdCalls(func(x logic.EndpointID) bool { return x == ep || !apart && n.target(x).Destination == to.Destination })
+	separateRoutes := target.KindIndex >= 0 && target.KindIndex < len(kinds) && kinds[target.KindIndex].SeparateRoutes
+	n.withholdCalls(func(other logic.EndpointID) bool {
+		return other == ep || !separateRoutes && n.target(other).Destination == target.Destination
+	})
 }
 
 func (n *Node) probe(work context.Context, ep logic.EndpointID) {
 	addr := n.target(ep).Address
 	go func() {
-		out := logic.ConnRefused
+		outcome := logic.ConnRefused
 		if req, err := newProbeRequest(addr); err == nil {
-			out = n.transport.do(work, &call{endpoint: ep, addr: addr, startedAt: time.Now(), timeout: probeTimeout, request: req,
+			outcome = n.transport.do(work, &call{endpoint: ep, addr: addr, startedAt: time.Now(), timeout: probeTimeout, request: req,
 				state: new(atomic.Int32)}).outcome
 		}
-		n.events <- probeEvent{ep, out}
+		n.events <- probeEvent{ep, outcome}
 	}()
 }
--- a/internal/node/clock_test.go
+++ b/internal/node/clock_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The wall clock has been stepped by an hour since the start, either way: what is held keeps its time, a window for
-// repeats stays as long as it is, and the end comes when it is due.
+// A step of the wall clock by an hour in either direction does not affect held messages: the window for repeats keeps
+// its length, and messages end at their deadlines.
 func TestWallClockStepDoesNotEndMessages(t *testing.T) {
 	for name, step := range map[string]time.Duration{"an hour forward": time.Hour, "an hour back": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
@@ -14,7 +14,7 @@
 			_, c, p, eps := startNodeWithEndpoints(t, 1, func(n *Node) { n.clock.ContinueFrom(n.clock.NowMicros() + step.Microseconds()) })
 			c.put("a", "keyed", "+OK")
 			await(t, eps[0].calls, "call").reply(500)
-			in := await(t, eps[0].calls, "call again, within its window")
+			in := await(t, eps[0].calls, "second call within the window")
 			if in.id() != "a" {
 				t.Errorf("call with %q", in.id())
 			}
--- a/internal/node/concurrent_events_test.go
+++ b/internal/node/concurrent_events_test.go
@@ -19,7 +19,7 @@
 	"crossdeal/logic"
 )
 
-// hookReader is a request's body that lets a test act once a connection was chosen, before a byte is written.
+// hookReader is a request body that calls a function after the connection is chosen and before a byte is written.
 type hookReader struct {
 	io.Reader
 	onFirstRead func()
@@ -33,8 +33,8 @@
 	return g.Reader.Read(b)
 }
 
-// An endpoint closes or resets an idle connection just as a request goes out on it: the connection looked good, all of
-// the request is written, and it may have run for all that the sender knows. It is not sent again by the caller.
+// An endpoint closes or resets an idle connection while a request is being written on it. After a close the whole
+// request is written and may have run as far as the sender knows, so the transport does not send it again.
 func TestIdleConnectionClosedDuringRequestIsNotRetried(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		e, c := newTestEndpoint(t), newTestTransport()
@@ -43,7 +43,7 @@
 		await(t, got, "result")
 		conn := (<-e.conns).(*net.TCPConn)
 		c.mu.Lock()
-		kept := c.idle[1][0]
+		idle := c.idle[1][0]
 		c.mu.Unlock()
 		in := newTestCall(t, e.addr(), "hello", testTimeout)
 		in.request.Body = io.NopCloser(&hookReader{strings.NewReader("hello"), func() {
@@ -51,15 +51,15 @@
 				conn.SetLinger(0)
 			}
 			conn.Close()
-			for stop := time.Now().Add(testTimeout); ; { // until it shows here
-				if alive, _ := peekConn(kept.Conn); !alive || time.Now().After(stop) {
+			for stop := time.Now().Add(testTimeout); ; { // until the close is visible
+				if alive, _ := peekConn(idle.Conn); !alive || time.Now().After(stop) {
 					break
 				}
 			}
 		}})
 		r := c.do(t.Context(), in)
 		if !reset && r.outcome != logic.ConnBroken || reset && r.outcome != logic.ConnRefused {
-			t.Errorf("reset %v: got %+v", reset, r) // a reset shows before the write: nothing is written
+			t.Errorf("reset %v: got %+v", reset, r) // a reset is visible before the write, so nothing is written
 		}
 		e.expectNoCall(t)
 		if n := len(e.conns); n != 0 {
@@ -68,7 +68,8 @@
 	}
 }
 
-// A message was forwarded after its end: its call was decided before and written after, on a kept connection.
+// A call that was decided before the end of its message, and would be written after it on an idle connection, is not
+// sent.
 func TestCallIsNotSentAfterMessageEnd(t *testing.T) {
 	e, c := newTestEndpoint(t), newTestTransport()
 	got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
@@ -80,7 +81,7 @@
 		ctx, stop := context.WithCancelCause(t.Context())
 		h := &heldMessage{message: &Message{ID: in.id}, call: in, cancelCall: stop}
 		n := &Node{held: map[string]*heldMessage{in.id: h}, openMessages: 1, recentIDs: map[string]time.Time{}, clock: clock.New()}
-		n.endMessage(in.id, h) // before its goroutine has begun
+		n.endMessage(in.id, h) // before the goroutine of the call has begun
 		if r := c.do(ctx, in); r.outcome != logic.NotSent {
 			t.Fatalf("got %+v", r)
 		}
@@ -88,7 +89,7 @@
 	e.expectNoCall(t)
 }
 
-// A call was written although it had been called off before its first byte.
+// A call that is cancelled before its first byte is not written.
 func TestCancelledCallIsNotSent(t *testing.T) {
 	e, c := newTestEndpoint(t), newTestTransport()
 	got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
@@ -106,22 +107,22 @@
 	e.expectNoCall(t)
 }
 
-// A connection that comes up when the call's time is over is not written to: nothing of it runs late.
+// A call whose connection is established only after the call's timeout is not written, so that nothing runs late.
 func TestConnectionOpenedAfterTimeoutIsNotUsed(t *testing.T) {
 	e, c := newTestEndpoint(t), newTestTransport()
 	in := newTestCall(t, e.addr(), "hello", 50*time.Millisecond)
-	in.mayWrite = func(context.Context) bool { // it is up; leave comes late
+	in.mayWrite = func(context.Context) bool { // the connection is up; the permission comes late
 		<-time.After(time.Until(in.startedAt.Add(in.timeout + time.Millisecond)))
 		return true
 	}
 	if r := c.do(t.Context(), in); r.outcome != logic.ConnRefused {
-		t.Errorf("got %+v, want RefusedConn", r)
+		t.Errorf("got %+v, want ConnRefused", r)
 	}
 	await(t, e.conns, "connection")
 	e.expectNoCall(t)
 }
 
-// Answers that never end cost their own message a second at most, and the connection.
+// A response that never ends is cut off by the timeouts and the size limit, and its connection is not kept.
 func TestEndlessAnswersAreCutOff(t *testing.T) {
 	e, c := newTestEndpoint(t), newTestTransport()
 	for _, x := range []struct {
@@ -146,16 +147,16 @@
 			in.keepReading <- false
 		}()
 		if r := await(t, got, "result"); r.outcome != x.want {
-			t.Errorf("%q and on with %q: outcome %d, want %d", x.begin, x.on, r.outcome, x.want)
+			t.Errorf("%q followed by %q without end: outcome %d, want %d", x.begin, x.on, r.outcome, x.want)
 		}
 		if c.idleCount() != 0 {
-			t.Errorf("%q: the connection is kept", x.begin)
+			t.Errorf("%q: connection is kept", x.begin)
 		}
 	}
 }
 
-// An endpoint breaks an unsafe message's call after any number of its bytes: it is never seen whole twice, and it ends
-// once.
+// An endpoint resets the call of an unsafe message after a number of bytes. The message is never received completely
+// twice, and it ends once.
 func TestUnsafeMessageIsReceivedAtMostOnceWhenCallBreaks(t *testing.T) {
 	for _, after := range []int{0, 1, 60, 1 << 20} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -202,14 +203,14 @@
 		stopWithNothingOwed(t, n)
 		mu.Lock()
 		if whole > 1 || len(p.notices) != 0 {
-			t.Errorf("broken after %d bytes: seen whole %d times, %d more notices", after, whole, len(p.notices))
+			t.Errorf("reset after %d bytes: received completely %d times, %d more notices", after, whole, len(p.notices))
 		}
 		mu.Unlock()
 	}
 }
 
-// Clients leave at any byte of a request, by an end or a reset; one leaves before its +OK and is back at once with the
-// same id on a new connection. Others are served, nothing stays behind, and each message runs once.
+// Clients close or reset their connection at any byte of a request, and one client resets it before its +OK and submits
+// the same id again on a new connection. Other clients are served, no connection is left, and each message runs once.
 func TestClientsDisconnectAtAnyByte(t *testing.T) {
 	n, c, _, e := startNodeWithEndpoints(t, 1)
 	request := "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$1\r\na\r\n$20\r\nc=safe,d=9000,dest=1\r\n$1\r\nx\r\n"
@@ -232,20 +233,20 @@
 	again := dialClient(t, n.addr)
 	io.WriteString(again.conn, request)
 	if got := again.readLine(); got != "+OK" {
-		t.Fatalf("back with the same id: %q", got)
+		t.Fatalf("second submission of the id: %q", got)
 	}
 	in := await(t, e[0].calls, "call")
 	in.reply(200)
 	c.put("b", "safe", "+OK")
 	if in = await(t, e[0].calls, "next call"); in.id() != "b" {
-		t.Errorf("call with %s again", in.id())
+		t.Errorf("call with message %s, want b", in.id())
 	}
 	in.reply(200)
 	for stop := time.Now().Add(testTimeout); ; {
 		n.clients.mu.Lock()
 		left := len(n.clients.conns)
 		n.clients.mu.Unlock()
-		if left == 2 { // those that are open
+		if left == 2 { // c and again
 			break
 		}
 		if time.Now().After(stop) {
@@ -255,8 +256,8 @@
 	stopWithNothingOwed(t, n)
 }
 
-// An endpoint goes and comes back under its name and address while a call runs there: the call's answer counts once,
-// and the endpoint is used again. An answer for a message that has ended meanwhile does no harm.
+// An endpoint is removed and comes back with its name and address while a call is in flight there. The response counts
+// once, and the endpoint is used again. A response for a message that has ended meanwhile is ignored.
 func TestRemovedEndpointReturnsDuringCall(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "unsafe", "+OK")
@@ -268,7 +269,7 @@
 	c.put("b", "unsafe", "+OK") // waits
 	e[0].expectNoCall(t)
 	p.update(func() { p.list = discovery.List{Generation: 3, Instances: instancesOf(e[0])} })
-	second := await(t, e[0].calls, "call of what waited")
+	second := await(t, e[0].calls, "call with the waiting message")
 	in.reply(200)
 	second.reply(200)
 	c.putWithTime("c", "unsafe", 200, "+OK")
@@ -281,7 +282,7 @@
 	c.put("d", "unsafe", "+OK")
 	last := await(t, e[0].calls, "call")
 	if last.id() != "d" {
-		t.Errorf("call with %s", last.id())
+		t.Errorf("call with message %s", last.id())
 	}
 	last.reply(200)
 	stopWithNothingOwed(t, n)
@@ -290,7 +291,7 @@
 	}
 }
 
-// SIGHUP while a sender stops: what it still owes goes to the new address, and it ends in good order.
+// After a SIGHUP during the shutdown, the remaining notices go to the new address, and the sender ends gracefully.
 func TestSIGHUPDuringShutdown(t *testing.T) {
 	p, q, e, dir := newTestPlatform(t), newTestPlatform(t), newTestEndpoint(t), t.TempDir()
 	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
@@ -307,19 +308,19 @@
 		t.Fatal(err)
 	}
 	x.cmd.Process.Signal(syscall.SIGHUP)
-	await(t, q.listRequests, "call to the new address")
+	await(t, q.listRequests, "list request to the new address")
 	in.reply(500)
 	if got := await(t, q.notices, "notice"); got != (Notice{ID: "a", State: "failed"}) {
 		t.Errorf("notice %+v", got)
 	}
 	x.awaitExit()
 	if ids := owedIDs(t, dir); ids != nil || len(p.notices) != 0 {
-		t.Errorf("still owed: %v; the old address got %d notices", ids, len(p.notices))
+		t.Errorf("messages left in the journal: %v; old address got %d notices", ids, len(p.notices))
 	}
 }
 
-// A process that takes over goes on with the watch at once, however many senders there are: it is no first start, whose
-// calls are spread.
+// A process that takes over starts its watch at once, whatever the number of senders. Only the first request of a first
+// start is delayed at random.
 func TestTakeoverStartsWatchAtOnce(t *testing.T) {
 	p := newTestPlatform(t)
 	text := strings.Replace(string(configText(p, discovery.List{})), `"balancers":1,`, `"balancers":300,`, 1)
@@ -335,20 +336,21 @@
 	defer n.close()
 	start := recordWatchStart(n)
 	n.adopt(t.Context(), &takeover{stateTransfer: stateTransfer{At: time.Now().UnixMicro(), IDs: map[string]logic.EndpointID{}}})
-	if !start.restart { // else the client would spread its first call
-		t.Error("the watch begins as at a first start")
+	if !start.restart { // the client delays its first request otherwise
+		t.Error("watch starts as at a first start")
 	}
 	n.watchList(t.Context())
-	await(t, p.listRequests, "call for the list")
-	await(t, n.events, "its answer") // the watch ends with the test
+	await(t, p.listRequests, "list request")
+	await(t, n.events, "response to the request") // the watch ends with the test
 }
 
-// Clients send much at once, read none of it back and go: nobody else waits for them, and nothing of them stays.
+// Clients that send much at once, read no answers and disconnect do not delay other clients, and no connection of them
+// is left.
 func TestFloodingClientsDoNotBlockOthers(t *testing.T) {
 	n, c, _, e := startNodeWithEndpoints(t, 1)
 	for k, text := range []string{"*1\r\n$4\r\nPING\r\n", "*1\r\n$3\r\nNOT\r\n", "nonsense ", "*9\r\n$1\r\nx\r\n"} {
 		flood := dialClient(t, n.addr)
-		go func() { // until the sender has had enough, or reads no more for want of a reader
+		go func() { // until the sender closes the connection, or stops reading since its answers are not read
 			flood.conn.SetWriteDeadline(time.Now().Add(testTimeout))
 			for sent := 0; sent < 8<<20; {
 				k, err := io.WriteString(flood.conn, strings.Repeat(text, 1000))
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,8 +1,9 @@
-// Package node is the sender on real sockets: it takes messages from clients,
-// keeps them in a journal, and lets a logic.Sender decide what is sent where and
-// when. It decides nothing about messages itself.
+// Package node is the sender on real sockets: it accepts messages from clients, keeps them in a journal, and lets a
+// logic.Sender decide what is sent where and when. It makes no decisions about messages itself.
 package node
 
+// The configuration: the file and the environment variables that the platform sets.
+
 import (
 	"encoding/json"
 	"errors"
@@ -17,7 +18,7 @@
 	"crossdeal/logic"
 )
 
-// Limits are the bounds that the platform sets for the process.
+// Limits are the resource limits that the platform sets for the process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
@@ -25,33 +26,35 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// maxListBytes is how long an answer of discovery may be. Beside it, what it holds is kept twice for a moment.
+// maxListBytes returns the size limit of a response of discovery, an eighth of the memory: while it is read, its
+// content is held two more times.
 func (l Limits) maxListBytes() int64 {
 	return max(int64(l.MemoryMB*(1<<20)/8), discovery.MinAnswerLimitBytes)
 }
 
-// diskMarginBytes stays free: files are counted in whole blocks, and the platform ends a sender that has more than its disk.
+// diskMarginBytes is kept free: files are counted in whole blocks, and the platform ends a sender that exceeds its disk
+// limit.
 const diskMarginBytes = 16 << 10
 
-// diskBytes is the disk that the platform gives; 0 if it sets no limit.
+// diskBytes returns the disk limit of the platform; 0 if it sets none.
 func (l Limits) diskBytes() int64 { return int64(l.DiskMB * 1e6) }
 
-// listStoreBytes is what the saved list may take on disk beside the journal, which takes two files for the time of a
-// rewrite. What is on disk may count as memory: it is no more than two of the longest lists.
+// listStoreBytes returns the size limit of the saved list on disk. The journal has two files during a rewrite, so this
+// much is left for it. Files may count as memory, so the limit is at most the size of two of the longest lists.
 func (l Limits) listStoreBytes() int64 {
-	left := 2 * l.maxListBytes()
+	limit := 2 * l.maxListBytes()
 	if disk := l.diskBytes(); disk > 0 {
-		left = min(left, disk-2*journalFileLimit(disk)-diskMarginBytes)
+		limit = min(limit, disk-2*journalFileLimit(disk)-diskMarginBytes)
 	}
-	return max(left, 0)
+	return max(limit, 0)
 }
 
-// Config is what the platform tells a sender at its start.
+// Config is the configuration of a sender, which the platform sets at its start.
 type Config struct {
 	Name          string
 	ListenAddr    string
 	DiscoveryAddr string
-	OperatorAddr  string // where operators call; empty for no such address
+	OperatorAddr  string // where operators are served; empty for nowhere
 	StateDir      string
 	Seed          uint64
 	Limits        Limits
@@ -59,10 +62,10 @@
 	Deployment    wire.Deployment
 	ClassIndexes  map[string]int
 	TenantIndexes map[string]int
-	Warnings      []string // what makes no sense, and what was taken for it
+	Warnings      []string // invalid values, and what is used instead
 }
 
-// readConfig reads the file that the environment names.
+// readConfig reads the configuration file, whose path is in the environment.
 func readConfig() (*Config, error) {
 	path := os.Getenv("BALANCER_CONFIG")
 	if path == "" {
@@ -79,19 +82,20 @@
 	return cfg, nil
 }
 
-// LoadDiscoveryAddr reads discovery's address anew. The file has it: the environment is that of the start.
+// LoadDiscoveryAddr reads the address of discovery again. It uses the file only, since the environment does not change
+// after the start.
 func LoadDiscoveryAddr() (string, error) {
 	cfg, err := readConfig()
 	if err != nil {
 		return "", err
 	}
 	if cfg.DiscoveryAddr == "" {
-		return "", errors.New("the configuration names no discovery")
+		return "", errors.New("the configuration has no discovery address")
 	}
 	return cfg.DiscoveryAddr, nil
 }
 
-// LoadConfig reads the environment and the file that it names.
+// LoadConfig reads the configuration file and the environment, whose values take precedence.
 func LoadConfig() (*Config, error) {
 	cfg, err := readConfig()
 	if err != nil {
@@ -110,9 +114,9 @@
 	return cfg, nil
 }
 
-// ParseConfig reads the text of the configuration file.
+// ParseConfig parses the text of the configuration file. Invalid values are replaced and listed in Warnings.
 func ParseConfig(text []byte) (*Config, error) {
-	var in struct {
+	var raw struct {
 		Name      string          `json:"name"`
 		Listen    string          `json:"listen"`
 		Discovery string          `json:"discovery"`
@@ -122,40 +126,40 @@
 		Known     json.RawMessage `json:"known"`
 		Settings  json.RawMessage `json:"settings"`
 	}
-	if err := json.Unmarshal(text, &in); err != nil {
+	if err := json.Unmarshal(text, &raw); err != nil {
 		return nil, err
 	}
-	deploy, err := wire.ParseDeployment(in.Settings)
+	deployment, err := wire.ParseDeployment(raw.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	cfg := &Config{Name: in.Name, ListenAddr: in.Listen, DiscoveryAddr: in.Discovery, OperatorAddr: in.Operator, Limits: in.Limits,
-		Deployment: deploy, ClassIndexes: map[string]int{}, TenantIndexes: map[string]int{}}
-	if deploy.InvalidValues != nil {
-		cfg.Warnings = append(cfg.Warnings, fmt.Sprintf("settings: %v; taken for missing", deploy.InvalidValues))
+	cfg := &Config{Name: raw.Name, ListenAddr: raw.Listen, DiscoveryAddr: raw.Discovery, OperatorAddr: raw.Operator, Limits: raw.Limits,
+		Deployment: deployment, ClassIndexes: map[string]int{}, TenantIndexes: map[string]int{}}
+	if deployment.InvalidValues != nil {
+		cfg.Warnings = append(cfg.Warnings, fmt.Sprintf("settings: %v; treated as missing", deployment.InvalidValues))
 	}
 	cfg.Warnings = append(cfg.Warnings, cfg.Deployment.Settings.ReplaceInvalid()...)
 	if t := &cfg.Deployment.ConnectTimeout; *t <= 0 || *t > logic.Micros(time.Minute.Microseconds()) {
-		cfg.Warnings = append(cfg.Warnings, fmt.Sprintf("settings: a connect timeout of %d us makes no sense, taken for 1 s", *t))
+		cfg.Warnings = append(cfg.Warnings, fmt.Sprintf("settings: invalid connect timeout of %d us; using 1 s", *t))
 		*t = logic.Second
 	}
-	if len(in.Known) > 0 {
-		if err := json.Unmarshal(in.Known, &cfg.KnownList); err != nil {
-			cfg.Warnings = append(cfg.Warnings, fmt.Sprintf("known list: %v; begun without one", err))
+	if len(raw.Known) > 0 {
+		if err := json.Unmarshal(raw.Known, &cfg.KnownList); err != nil {
+			cfg.Warnings = append(cfg.Warnings, fmt.Sprintf("known list: %v; starting without one", err))
 			cfg.KnownList = discovery.List{}
 		}
 	}
-	if cfg.Seed, err = strconv.ParseUint(in.Seed, 16, 64); err != nil {
-		// Senders without one must not act in step: each has another name and address.
+	if cfg.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
+		// Senders without a seed must not act in lockstep; they differ in name and address.
 		h := fnv.New64a()
-		fmt.Fprintln(h, in.Name, in.Listen, time.Now().UnixNano())
+		fmt.Fprintln(h, raw.Name, raw.Listen, time.Now().UnixNano())
 		cfg.Seed = h.Sum64()
-		cfg.Warnings = append(cfg.Warnings, fmt.Sprintf("seed: %v; drew one", err))
+		cfg.Warnings = append(cfg.Warnings, fmt.Sprintf("seed: %v; using a generated one", err))
 	}
-	for i, c := range deploy.Settings.Classes {
+	for i, c := range deployment.Settings.Classes {
 		cfg.ClassIndexes[c.Name] = i
 	}
-	for i, t := range deploy.Settings.Tenants {
+	for i, t := range deployment.Settings.Tenants {
 		cfg.TenantIndexes[t.Name] = i
 	}
 	return cfg, nil
--- a/internal/node/crash_test.go
+++ b/internal/node/crash_test.go
@@ -14,36 +14,37 @@
 	"crossdeal/logic"
 )
 
-// copyJournal copies what a sender's death at this moment would leave in its folder.
+// copyJournal copies the journal as a crash of the sender at this moment would leave it, and returns the folder.
 func copyJournal(t *testing.T, dir string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(dir, journalFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	to := t.TempDir()
-	if err := os.WriteFile(filepath.Join(to, journalFileName), text, 0o600); err != nil {
+	copyDir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(copyDir, journalFileName), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	return to
+	return copyDir
 }
 
-// A sender dies while a call still connects: nothing of it was written, so the next start sends the message, an unsafe
-// one too. Once it is written it may have run. The gate holds the connection as one that comes up late.
+// After a crash while a call is connecting, nothing of it was written, so the next start sends the message, even an
+// unsafe one. After a crash once the call is written it may have run. The dialer's Control function delays the
+// connection.
 func TestMessageIsSentAfterCrashWhileConnecting(t *testing.T) {
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
-		at, open := make(chan bool), make(chan bool)
+		dialing, release := make(chan bool), make(chan bool)
 		n, c, p, e := startNodeWithEndpoints(t, 1, func(n *Node) {
 			n.transport.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
-				at <- true
-				<-open
+				dialing <- true
+				<-release
 				return nil
 			}
 		})
 		c.put("a", class, "+OK")
-		await(t, at, "call that connects")
+		await(t, dialing, "call that connects")
 		connecting := copyJournal(t, n.cfg.StateDir)
-		open <- true
+		release <- true
 		in := await(t, e[0].calls, "call")
 		written := copyJournal(t, n.cfg.StateDir)
 		in.reply(200)
@@ -53,9 +54,9 @@
 		known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(other)}
 		p.update(func() { p.list = known })
 		next := startNode(t, p, connecting, known)
-		in = await(t, other.calls, class+" message that nobody was sent")
+		in = await(t, other.calls, class+" message that was not written before")
 		if in.id() != "a" {
-			t.Errorf("%s: call with %s", class, in.id())
+			t.Errorf("%s: call with message %s", class, in.id())
 		}
 		in.reply(200)
 		stopWithNothingOwed(t, next)
@@ -66,7 +67,7 @@
 				t.Errorf("notice %+v", x)
 			}
 		} else {
-			await(t, other.calls, class+" message again").reply(200)
+			await(t, other.calls, class+" message, sent again").reply(200)
 		}
 		stopWithNothingOwed(t, next)
 		other.expectNoCall(t)
@@ -76,21 +77,21 @@
 	}
 }
 
-// Each attempt counts once, whether it had to connect or not, through a restart and a rewrite too, and one that only
+// Each attempt counts once, whether it had to connect or not, also after a restart and a rewrite. An attempt that only
 // connected has not run.
 func TestJournalDistinguishesConnectingFromWritten(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
 	mustAppend(t, j, acceptRecord("a", 10), record{Op: opConnect, ID: "a"})
-	want := func(tries int, begun, open, may bool) {
+	want := func(attempts int, connecting, maybeWritten, mayHaveRun bool) {
 		t.Helper()
-		for _, what := range []string{"as it is", "replayed", "rewritten"} {
+		for _, how := range []string{"as it is", "replayed", "rewritten"} {
 			e := j.Entry("a")
-			if e.Attempts != tries || e.Connecting != begun || e.MaybeWritten != open || e.MayHaveRun != may {
-				t.Errorf("%s: %d tries, begun %v, open %v, may have run %v; want %d, %v, %v, %v", what, e.Attempts, e.Connecting,
-					e.MaybeWritten, e.MayHaveRun, tries, begun, open, may)
+			if e.Attempts != attempts || e.Connecting != connecting || e.MaybeWritten != maybeWritten || e.MayHaveRun != mayHaveRun {
+				t.Errorf("%s: %d attempts, connecting %v, maybe written %v, may have run %v; want %d, %v, %v, %v", how, e.Attempts, e.Connecting,
+					e.MaybeWritten, e.MayHaveRun, attempts, connecting, maybeWritten, mayHaveRun)
 			}
-			if what == "replayed" {
+			if how == "replayed" {
 				if err := j.Compact(); err != nil {
 					t.Fatal(err)
 				}
@@ -103,7 +104,7 @@
 	mustAppend(t, j, record{Op: opSend, ID: "a", SentAt: 7})
 	want(1, false, true, false)
 	mustAppend(t, j, record{Op: opOutcome, ID: "a"})
-	mustAppend(t, j, record{Op: opSend, ID: "a", SentAt: 8}) // on a kept connection
+	mustAppend(t, j, record{Op: opSend, ID: "a", SentAt: 8}) // on an idle connection
 	want(2, false, true, false)
 	mustAppend(t, j, record{Op: opOutcome, ID: "a", MayHaveRun: true})
 	mustAppend(t, j, record{Op: opConnect, ID: "a"}, record{Op: opOutcome, ID: "a"})
@@ -111,7 +112,7 @@
 	j.Close()
 }
 
-// A call that is called off while it waits for leave, or that gets none, is not written.
+// A call that is cancelled while it waits for the permission to write, or that is denied it, is not written.
 func TestCallWithoutWritePermissionIsNotSent(t *testing.T) {
 	e, c := newTestEndpoint(t), newTestTransport()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -122,14 +123,14 @@
 		in := newTestCall(t, e.addr(), "hello", testTimeout)
 		in.mayWrite = allow
 		if r := c.do(ctx, in); r.outcome != logic.NotSent {
-			t.Errorf("got %+v, want Moot", r)
+			t.Errorf("got %+v, want NotSent", r)
 		}
 	}
 	e.expectNoCall(t)
 }
 
-// A death between the message's record and its +OK, or in the middle of writing any record, leaves what was owed before,
-// and nothing that was not whole counts.
+// A crash at any byte of a write, also between a message's record and its +OK, leaves the state of the complete
+// records. A partial record and a partial rewrite are dropped.
 func TestJournalTruncatedAtAnyByteKeepsWholeRecords(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
@@ -146,18 +147,18 @@
 	j.Close()
 	state := func(e *Entry) string {
 		if e == nil {
-			return "nothing owed"
+			return "no entry"
 		}
 		return fmt.Sprint(e.Attempts, e.Connecting, e.MaybeWritten, e.MayHaveRun, e.EndNotice != nil)
 	}
-	want := []string{"nothing owed", "0 false false false false", "1 true false false false", "1 false true false false",
-		"1 false false true false", "1 false false true true", "nothing owed"}
+	want := []string{"no entry", "0 false false false false", "1 true false false false", "1 false true false false",
+		"1 false false true false", "1 false false true true", "no entry"}
 	for cut := range int64(len(whole)) + 1 {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, journalFileName), whole[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(dir, journalFileName+".new"), whole[cut/2:], 0o600); err != nil { // in a rewrite
+		if err := os.WriteFile(filepath.Join(dir, journalFileName+".new"), whole[cut/2:], 0o600); err != nil { // partial
 			t.Fatal(err)
 		}
 		records := 0
@@ -171,14 +172,14 @@
 			t.Fatalf("cut at byte %d: %s, want %s", cut, got, want[records])
 		}
 		if _, err := os.Stat(filepath.Join(dir, journalFileName+".new")); err == nil {
-			t.Fatal("half a rewrite is left")
+			t.Fatal("partial rewrite is left")
 		}
 		j.Close()
 	}
 }
 
-// After SIGKILL and after SIGTERM what was never tried goes out at the next start, with many messages in the journal,
-// with a told wait that ended with the process, and with discovery silent; little time left is enough.
+// After SIGKILL and after SIGTERM the next start sends all untried messages of the journal, even if an endpoint had
+// asked the last process for a wait, which is not kept over a restart, and discovery does not respond.
 func TestRestartSendsAllOwedMessages(t *testing.T) {
 	for _, x := range []struct {
 		name string
@@ -192,12 +193,12 @@
 		c := dialClient(t, first.addr)
 		c.put("told", "safe", "+OK")
 		await(t, e.calls, "call").reply(429, "X-Come-Back-Ms: 60000")
-		for stop := time.Now().Add(testTimeout); ; { // until the loop has the wait
+		for stop := time.Now().Add(testTimeout); ; { // until the loop has handled the response
 			if j := openJournal(t, copyJournal(t, dir), 3e6); !j.Entry("told").MaybeWritten && !j.Entry("told").Connecting {
 				break
 			}
 			if time.Now().After(stop) {
-				t.Fatal("no outcome in the journal")
+				t.Fatal("timed out waiting for the outcome in the journal")
 			}
 		}
 		for i := range 6 {
@@ -227,7 +228,8 @@
 	}
 }
 
-// Settings that no longer name a message's class leave open whether it may be repeated: it takes no other class's way.
+// A message whose class the settings do not name is ended: it is unknown whether it may be repeated, and it must not be
+// treated as one of another class.
 func TestRestartEndsMessagesOfUnknownClass(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
@@ -253,8 +255,8 @@
 	e.expectNoCall(t)
 }
 
-// A sender of a large fleet dies with untried messages whose time is nearly up, more than its share of the limit lets
-// out in that time, and discovery answers nothing at its start: each of them is called all the same.
+// A sender of a large fleet crashes with untried messages near their deadline, more than its share of the rate limit
+// lets through in that time, and discovery does not respond at the next start. Each message is sent all the same.
 func TestRestartSendsMessagesNearDeadline(t *testing.T) {
 	p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
 	p.unresponsive = true
@@ -289,7 +291,7 @@
 	}
 }
 
-// BenchmarkReplay is a start with a journal as long as it may be: 3 MB, nearly all of them records of what is over.
+// BenchmarkReplay measures the replay of a journal near its limit on a disk of 3 MB, mostly records of ended messages.
 func BenchmarkReplay(b *testing.B) {
 	dir := b.TempDir()
 	j, err := OpenJournal(dir, 3e6)
--- a/internal/node/discovery_move_test.go
+++ b/internal/node/discovery_move_test.go
@@ -11,8 +11,8 @@
 	"crossdeal/logic"
 )
 
-// A call for the list has failed, and a sender of many leaves discovery alone for seconds. A move in this time is
-// followed at once: what the new address has to tell counts as told 4 s after the signal.
+// After a failed request a sender of a large fleet pauses for seconds before the next one. If discovery moves in this
+// pause, the sender requests the list from the new address at once: changes there count as known 4 s after the signal.
 func TestDiscoveryMoveWithoutActiveWatch(t *testing.T) {
 	p, q := newTestPlatform(t), newTestPlatform(t)
 	p.down = true
@@ -23,22 +23,22 @@
 	}
 	failed := make(chan bool, 1)
 	n := startNodeWithConfig(t, cfg, t.TempDir(), func(n *Node) {
-		n.restarted = true // no spread of first calls
+		n.restarted = true // no random delay of the first request
 		n.log = slog.New(notifyOnLogLine("msg=discovery ", failed))
 		n.watcher = n.newDiscoveryClient()
 	})
-	await(t, failed, "failure")
-	first := 1 * time.Second // the module's pause is 2 s at least
-	at := time.Now()
+	await(t, failed, "failed request")
+	maxDelay := 1 * time.Second // the pause of the decision logic is at least 2 s
+	movedAt := time.Now()
 	n.MoveDiscovery(strings.TrimPrefix(q.server.URL, "http://"))
-	if query := await(t, q.listRequests, "call to the new address"); query != "" || time.Since(at) > first {
-		t.Errorf("%q %v after the move, want the whole list at once", query, time.Since(at))
+	if query := await(t, q.listRequests, "list request to the new address"); query != "" || time.Since(movedAt) > maxDelay {
+		t.Errorf("request %q %v after the move, want one for the whole list at once", query, time.Since(movedAt))
 	}
 	n.stop()
 	await(t, n.done, "end of the sender")
 }
 
-// notifyOnLogLine tells of lines that hold a text.
+// notifyOnLogLine returns a log handler that signals on seen when a line contains text.
 func notifyOnLogLine(text string, seen chan<- bool) slog.Handler {
 	return slog.NewTextHandler(writerFunc(func(b []byte) (int, error) {
 		if strings.Contains(string(b), text) {
@@ -55,7 +55,7 @@
 
 func (f writerFunc) Write(b []byte) (int, error) { return f(b) }
 
-// The failure of a call to the old address may come to the loop after the word of the move: the module hears of both.
+// If the failure of a request to the old address reaches the loop after the move, the decision logic gets both events.
 func TestDiscoveryMoveReportedWithLateFailure(t *testing.T) {
 	cfg, err := ParseConfig(configText(newTestPlatform(t), discovery.List{}))
 	if err != nil {
@@ -71,6 +71,6 @@
 	n.MoveDiscovery("127.0.0.1:1")
 	n.handleListEvent(discovery.Event{Err: io.ErrUnexpectedEOF})
 	if len(n.nextEvents) != 2 || n.nextEvents[1] != logic.Event(logic.DiscoveryMoved{}) {
-		t.Errorf("the module hears %v", n.nextEvents)
+		t.Errorf("events %v, want the failure and then the move", n.nextEvents)
 	}
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -12,7 +12,7 @@
 	"crossdeal/logic"
 )
 
-// watchStartRecorder is a watcher that keeps what it began with.
+// watchStartRecorder is a watcher that records its initial state.
 type watchStartRecorder struct {
 	listWatcher
 	generation int64
@@ -30,13 +30,14 @@
 	return r
 }
 
-// applyList has the loop take a list.
+// applyList applies a list as the loop does.
 func applyList(n *Node, l discovery.List) {
 	n.handleListEvent(discovery.Event{Update: n.directory.Diff(l), HasUpdate: true})
 }
 
-// A sender that finds its folder in use comes back on a list that may be old, also if its journal is empty, as after a
-// rewrite with nothing owed or with no message ever; one that finds an empty folder starts anew.
+// A sender whose state folder has been in use is restarted, so its initial list may be stale. This holds even if the
+// journal is empty, because of a rewrite without entries or because there was never a message. With an empty folder it
+// is a first start.
 func TestRestartIsDetectedFromStateFolder(t *testing.T) {
 	cfg, err := ParseConfig(configText(newTestPlatform(t), discovery.List{Generation: 1}))
 	if err != nil {
@@ -50,22 +51,22 @@
 		}
 		start := recordWatchStart(n)
 		n.resumeFromJournal()
-		if old := n.nextEvents[0].(logic.ListUpdate).Stale; old != want || start.restart != want || start.generation != 1 {
-			t.Errorf("old %v, the watch begins with %+v, want %v", old, start, want)
+		if stale := n.nextEvents[0].(logic.ListUpdate).Stale; stale != want || start.restart != want || start.generation != 1 {
+			t.Errorf("stale %v, watch starts with %+v, want %v", stale, start, want)
 		}
-		switch i { // 0: nothing was ever written
+		switch i { // 0: nothing is written
 		case 1:
 			mustAppend(t, n.journal, record{Op: opDone, ID: "m"})
 		case 2:
 			if err := n.journal.Compact(); err != nil || n.journal.size != 0 {
-				t.Fatalf("%d bytes after a rewrite with nothing owed, %v", n.journal.size, err)
+				t.Fatalf("%d bytes after a rewrite without entries, %v", n.journal.size, err)
 			}
 		}
 		n.close()
 	}
 }
 
-// A list costs what its rows and the calls that are out cost, not their product.
+// The cost of a list update is linear in its rows and in the calls in flight, not in their product.
 func TestListUpdateCostDoesNotMultiplyRowsByCalls(t *testing.T) {
 	const rows = 20000
 	cost := func(calls int) time.Duration {
@@ -79,7 +80,7 @@
 			t.Fatal(err)
 		}
 		defer n.close()
-		for i := range calls { // each to an endpoint that the list does not have
+		for i := range calls { // each to an endpoint that is not on the list
 			n.held[strconv.Itoa(i)] = &heldMessage{call: &call{endpoint: logic.EndpointID(rows + 1 + i), state: new(atomic.Int32)}, cancelCall: func(error) {}}
 		}
 		least := time.Hour
@@ -96,11 +97,11 @@
 		return least
 	}
 	if none, many := cost(0), cost(5000); many > 4*none+20*time.Millisecond {
-		t.Errorf("%v with no calls out, %v with 5000", none, many)
+		t.Errorf("%v with no calls in flight, %v with 5000", none, many)
 	}
 }
 
-// How long a list may be follows from the memory that the platform gives.
+// The size limit of a list follows from the memory limit.
 func TestMaxListSizeFollowsMemory(t *testing.T) {
 	for _, x := range []struct {
 		memory float64
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -1,5 +1,7 @@
 package node
 
+// The guard: a second check of each send and end against the rules that the sender must not break.
+
 import (
 	"log/slog"
 	"maps"
@@ -11,33 +13,36 @@
 	"crossdeal/logic"
 )
 
-// rule is an invariant of the sender. The module decides so that none is broken; the guard checks again at the moment of
-// acting, with what is known then.
+// rule names an invariant of the sender. The decision logic keeps all of them; the guard checks them again when an
+// action is carried out, with the state at that time. Each call is checked before anything of it is journaled or
+// written, and a call on a new connection again once that is established. The value of a rule is its name in log lines
+// and counters.
 type rule string
 
 // The rules that the guard checks.
 const (
-	ruleDrain         rule = "drain"       // nothing to an endpoint that is not up, or that an operator has taken out
-	ruleUnconfirmed   rule = "unconfirmed" // nothing on a list that may be old by now
-	ruleWait          rule = "wait"        // nothing to where a wait was asked for
-	ruleDestination   rule = "destination" // only endpoints of the message's destination
-	ruleSingleAttempt rule = "once"        // one attempt of a message at a time, and none once it is over
+	ruleDrain         rule = "drain"       // no call to an endpoint that is not up, or that an operator has taken out
+	ruleUnconfirmed   rule = "unconfirmed" // no call based on an endpoint list that may be stale
+	ruleWait          rule = "wait"        // no call to where an endpoint asked for a wait that is not over
+	ruleDestination   rule = "destination" // a message goes only to endpoints of its destination
+	ruleSingleAttempt rule = "once"        // one attempt of a message at a time, and none once it has ended
 	ruleAttempts      rule = "attempts"    // no more attempts than the settings allow
-	ruleRepeat        rule = "repeat"      // what may have run is repeated only as its class allows
-	ruleDeadline      rule = "deadline"    // nothing after a message's time
-	ruleState         rule = "state"       // a client's connection goes from state to state as it may
-	ruleAnswer        rule = "answer"      // a request that was read has its answer before its connection is closed
+	ruleRepeat        rule = "repeat"      // a message that may have run is repeated only as its class allows
+	ruleDeadline      rule = "deadline"    // no call after the message's deadline
+	ruleState         rule = "state"       // a client's connection makes only the permitted state changes
+	ruleAnswer        rule = "answer"      // a request that was read is answered before its connection is closed
 	ruleEnd           rule = "end"         // a message ends once
-	ruleStart         rule = "start"       // what the journal holds at a start is held, or its end is told
+	ruleStart         rule = "start"       // each journal entry at a start becomes a held message or a queued notice
 )
 
 const (
-	waitSlack        = 100 * time.Millisecond // calls that cross the answer with a wait are let through
-	maxViolationLogs = 20                     // lines in a life
+	waitSlack        = 100 * time.Millisecond // calls that cross with the response that asked for a wait are allowed
+	maxViolationLogs = 20                     // "rule broken" log lines per process
 )
 
-// guard counts what was about to break a rule, and what was stopped since things had changed since the decision. A
-// violation is a fault of this program: it is never expected to count any.
+// guard counts violations and withheld actions. A violation is an action that would have broken a rule with the state
+// on which it was decided (or an invariant that was found broken): a bug in this program, so none is ever expected. A
+// withheld action was correct when it was decided, and the state changed before it was carried out: this is normal.
 type guard struct {
 	log              *slog.Logger
 	mu               sync.Mutex
@@ -45,17 +50,17 @@
 	withheldCounts   map[rule]int
 	loggedViolations int
 
-	// What follows belongs to the loop.
+	// Used by the loop only.
 	waits map[waitTarget]requestedWait
 }
 
-// waitTarget is where a wait holds: a destination, or one endpoint of it where endpoints are routes apart.
+// waitTarget is what a wait applies to: a destination, or one endpoint of it where endpoints are separate routes.
 type waitTarget struct {
 	destination int64
-	endpoint    logic.EndpointID // 0: all of the destination
+	endpoint    logic.EndpointID // 0 for the whole destination
 }
 
-// requestedWait is a wait that an answer asked for.
+// requestedWait is a wait that a response asked for.
 type requestedWait struct {
 	since time.Time
 	until time.Time
@@ -65,7 +70,7 @@
 	return &guard{log: log, violationCounts: map[rule]int{}, withheldCounts: map[rule]int{}, waits: map[waitTarget]requestedWait{}}
 }
 
-// recordViolation counts a rule that was about to be broken, or was.
+// recordViolation counts a violation of a rule and logs it, up to maxViolationLogs lines.
 func (g *guard) recordViolation(r rule, attrs ...any) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -75,14 +80,14 @@
 	}
 }
 
-// recordWithheld counts an action that was right when it was decided and is not any more.
+// recordWithheld counts an action that was correct when it was decided and that a rule forbids by now.
 func (g *guard) recordWithheld(r rule) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.withheldCounts[r]++
 }
 
-// violationTotal is how many there were in this process's life.
+// violationTotal returns the number of violations since the process started.
 func (g *guard) violationTotal() (count int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -92,7 +97,7 @@
 	return count
 }
 
-// countAttrs returns what was counted so far, as names and counts in order of name.
+// countAttrs returns the counts since the process started as log attributes, each group in order of rule.
 func (g *guard) countAttrs() []any {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -106,58 +111,60 @@
 	return out
 }
 
-// addWait notes a wait that an answer asked for.
-func (g *guard) addWait(at waitTarget, span time.Duration, now time.Time) {
-	until := now.Add(span)
-	if until.After(g.waits[at].until) {
-		g.waits[at] = requestedWait{since: now, until: until}
+// addWait records a wait that a response asked for, unless a recorded one lasts longer.
+func (g *guard) addWait(target waitTarget, wait time.Duration, now time.Time) {
+	until := now.Add(wait)
+	if until.After(g.waits[target].until) {
+		g.waits[target] = requestedWait{since: now, until: until}
 	}
 }
 
-// waitActive says whether a wait holds somewhere; those that are over are dropped.
-func (g *guard) waitActive(at waitTarget, now time.Time) bool {
-	w, ok := g.waits[at]
+// waitActive reports whether a wait applies to target now. Within waitSlack of its begin and end it does not count. A
+// wait that is over is dropped.
+func (g *guard) waitActive(target waitTarget, now time.Time) bool {
+	w, ok := g.waits[target]
 	if ok && !now.Before(w.until) {
-		delete(g.waits, at)
+		delete(g.waits, target)
 		return false
 	}
 	return ok && now.Sub(w.since) > waitSlack && w.until.Sub(now) > waitSlack
 }
 
-// waitTargetOf is where a wait of an endpoint holds.
-func (n *Node) waitTargetOf(ep logic.EndpointID, to discovery.Target) waitTarget {
-	if kinds := n.cfg.Deployment.Settings.Kinds; to.KindIndex >= 0 && to.KindIndex < len(kinds) && kinds[to.KindIndex].SeparateRoutes {
-		return waitTarget{to.Destination, ep}
+// waitTargetOf returns what a wait that an endpoint asked for applies to.
+func (n *Node) waitTargetOf(ep logic.EndpointID, target discovery.Target) waitTarget {
+	if kinds := n.cfg.Deployment.Settings.Kinds; target.KindIndex >= 0 && target.KindIndex < len(kinds) && kinds[target.KindIndex].SeparateRoutes {
+		return waitTarget{target.Destination, ep}
 	}
-	return waitTarget{destination: to.Destination}
+	return waitTarget{destination: target.Destination}
 }
 
-// checkSend says which rule a call of h to an endpoint would break now; empty if none.
+// checkSend returns the rule that a call of h to an endpoint would break now; empty if none.
 func (n *Node) checkSend(h *heldMessage, ep logic.EndpointID, now time.Time) rule {
-	set := &n.cfg.Deployment.Settings
-	to := n.target(ep)
+	settings := &n.cfg.Deployment.Settings
+	target := n.target(ep)
 	switch {
 	case h.ended:
 		return ruleSingleAttempt
-	case to.Lifecycle != "" && to.Lifecycle != "up" || n.journal.disabled[n.directory.Name(ep)]:
+	case target.Lifecycle != "" && target.Lifecycle != "up" || n.journal.disabled[n.directory.Name(ep)]:
 		return ruleDrain
-	case to.Destination != h.message.Destination:
+	case target.Destination != h.message.Destination:
 		return ruleDestination
 	case !now.Before(n.clock.Time(h.message.Deadline)):
 		return ruleDeadline
-	case n.guard.waitActive(n.waitTargetOf(ep, to), now):
+	case n.guard.waitActive(n.waitTargetOf(ep, target), now):
 		return ruleWait
 	case n.repeatForbidden(h.message, now):
 		return ruleRepeat
 	case n.sender.ListUnconfirmed(toMicros(time.Since(n.startedAt))):
 		return ruleUnconfirmed
-	case set.MaxTries > 0 && h.attempts > set.MaxTries:
+	case settings.MaxTries > 0 && h.attempts > settings.MaxTries:
 		return ruleAttempts
 	}
 	return ""
 }
 
-// repeatForbidden says whether a message may have run and is not to be sent again.
+// repeatForbidden reports whether a message may have run and must not be sent again: an unsafe message never is, a
+// keyed one not after its window, and one of an unknown class never.
 func (n *Node) repeatForbidden(m *Message, now time.Time) bool {
 	e := n.journal.Entry(m.ID)
 	if e == nil || !e.MayHaveRun {
@@ -176,39 +183,40 @@
 	return false
 }
 
-// permitCall checks a call that the module has decided on, before anything is written of it. A breach is a fault of this
-// program, but for a list that has become old in the moment between.
+// permitCall checks a call that the decision logic has just decided on, before anything of it is journaled or written.
+// A broken rule is a violation, except for a list that became stale or a deadline that passed since the decision.
 func (n *Node) permitCall(id string, ep logic.EndpointID) bool {
 	h := n.held[id]
 	if h == nil {
-		return true // never accepted: callOut answers the module
+		return true // never accepted: startCall reports the outcome
 	}
-	broken := n.checkSend(h, ep, time.Now())
+	violated := n.checkSend(h, ep, time.Now())
 	switch {
-	case broken == "" && h.cancelCall != nil:
-		broken = ruleSingleAttempt
-	case broken == "" && n.cfg.Deployment.Settings.MaxTries > 0 && h.attempts >= n.cfg.Deployment.Settings.MaxTries:
-		broken = ruleAttempts
+	case violated == "" && h.cancelCall != nil:
+		violated = ruleSingleAttempt
+	case violated == "" && n.cfg.Deployment.Settings.MaxTries > 0 && h.attempts >= n.cfg.Deployment.Settings.MaxTries:
+		violated = ruleAttempts
 	}
-	switch broken {
+	switch violated {
 	case "":
 		return true
 	case ruleUnconfirmed, ruleDeadline:
-		n.guard.recordWithheld(broken)
+		n.guard.recordWithheld(violated)
 	default:
-		n.guard.recordViolation(broken, "id", id, "endpoint", n.directory.Name(ep), "attempt", h.attempts, "generation", n.listGeneration)
+		n.guard.recordViolation(violated, "id", id, "endpoint", n.directory.Name(ep), "attempt", h.attempts, "generation", n.listGeneration)
 	}
 	return false
 }
 
-// permitWrite checks a call again once its connection is up: what it was decided on may have changed meanwhile.
+// permitWrite checks a call again once its new connection is established: the state may have changed since the
+// decision, so a forbidden call counts as withheld and not as a violation.
 func (n *Node) permitWrite(c *call) bool {
 	h := n.held[c.id]
 	if h == nil || h.call != c || h.ended || c.state.Load() != callConnecting {
 		return false
 	}
-	if broken := n.checkSend(h, c.endpoint, time.Now()); broken != "" {
-		n.guard.recordWithheld(broken)
+	if violated := n.checkSend(h, c.endpoint, time.Now()); violated != "" {
+		n.guard.recordWithheld(violated)
 		return false
 	}
 	return true
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -1,5 +1,31 @@
 package node
 
+// The owner's side of a handover: a process of a sender gives its messages, calls and connections to a new process of
+// the same sender, its successor, so that an upgrade interrupts nothing.
+//
+// Ownership. The process that holds the lock of the lock file in the state folder is the owner: only it listens for
+// clients, writes the journal and sends. It also listens on a unix socket in the folder, the handover socket. A new
+// process that finds the lock taken asks there for the state, again after each handoverRetryDelay, and tries the lock
+// in between, which it gets if the owner ends first.
+//
+// Steps:
+//  1. The successor sends a line with the format and the address for its operators, "-" for none.
+//  2. The owner refuses by closing the connection if it is shutting down, if a transfer has just failed, or if its
+//     state does not fit in the format. Otherwise it reports itself as not ready and freezes: it accepts no client,
+//     parks clients' connections between requests, withholds calls that are connecting, and parks calls that wait for
+//     their responses. From here on neither process decides anything.
+//  3. The owner sends the number of descriptors and the size of the text, the descriptors (the lock, the listener, and
+//     the connections), the state as JSON text, and in the row format the tables as rows. The descriptors of the lock
+//     file refer to one lock, which both processes hold from then on.
+//  4. The successor reads and checks all of it, opens the journal and answers with handoverAck. From then on it is the
+//     owner.
+//  5. The old owner closes what it has handed over, sends operators on to the new address, lets the clients that could
+//     not be handed over finish (their requests go to the successor), and ends.
+//
+// If the transfer fails before the acknowledgement, the owner resumes everything where it stopped and refuses handovers
+// for handoverFailureDelay. If the owner is stopped while it waits for the acknowledgement, it ends without resuming:
+// the successor goes on if it has the whole state; otherwise the next start reads the journal.
+
 import (
 	"bufio"
 	"context"
@@ -20,34 +46,35 @@
 )
 
 const (
-	lockFileName                = "lock"     // in the state folder: whoever holds its lock owns the messages
-	handoverSocketName          = "handover" // beside it: where the owner hands over
-	handoverRequestText         = "take 1"   // what a successor says first; the number is that of the form: all in one text ...
-	handoverRequestRows         = "take 2"   // ... or a text, and the tables row by row
-	handoverAck                 = "taken\n"  // and last
+	lockFileName                = "lock"     // in the state folder: the process that holds its lock owns the state
+	handoverSocketName          = "handover" // beside it: the socket on which the owner hands over
+	handoverRequestText         = "take 1"   // request with the number of the format: the state as one text ...
+	handoverRequestRows         = "take 2"   // ... or a text, followed by the tables as rows
+	handoverAck                 = "taken\n"  // the successor's acknowledgement
 	handoverRequestTimeout      = time.Second
-	handoverRetryDelay          = 50 * time.Millisecond  // before the owner is asked again
-	freezeTimeout               = 100 * time.Millisecond // for half-read requests to come to their end before the state is packed
+	handoverRetryDelay          = 50 * time.Millisecond  // before the owner is asked again, or the lock is tried again
+	freezeTimeout               = 100 * time.Millisecond // for partially read requests to complete
 	freezePollInterval          = time.Millisecond
 	adminLingerTime             = 2 * time.Second // after a handover, for operators that still call the old address
-	handoverReservedDescriptors = 16              // of each process: lock, journal, discovery, notices and the like
-	maxDescriptorsPerMessage    = 200             // descriptors in one message; the kernel takes 253
+	handoverReservedDescriptors = 16              // per process: lock, journal, discovery, notices and the like
+	maxDescriptorsPerMessage    = 200             // descriptors in one message; the kernel allows 253
 	maxStateTextBytes           = 64 << 20
-	minTextBytesPerName         = 600             // bytes of one text for each name, at least
-	maxRowBytes                 = 1 << 20         // bytes
-	handoverStallTimeout        = 2 * time.Second // a successor that takes nothing for so long has failed
-	handoverFailureDelay        = time.Second     // after a transfer that failed, before the next: each keeps the owner from its work
+	minTextBytesPerName         = 600 // lower bound for the size of a name in a text, to estimate the size of the text
+	maxRowBytes                 = 1 << 20
+	handoverStallTimeout        = 2 * time.Second // a successor that reads nothing for this long has failed
+	handoverFailureDelay        = time.Second     // after a failed transfer, before the next: each one stalls the owner
 )
 
 var (
 	errStateLocked    = errors.New("another process owns the state")
 	errHandedOver     = errors.New("handed over to a new process")
-	errHandoverFormat = errors.New("the owner does not hand over, or not in this form")
+	errHandoverFormat = errors.New("the owner does not hand over, or not in this format")
 	errTransferBroken = errors.New("the state transfer broke off")
-	errStateTooLarge  = errors.New("a state too large for one text")
+	errStateTooLarge  = errors.New("state is too large for one text")
 )
 
-// lockState makes this process the owner of the state folder, until the file is closed everywhere.
+// lockState makes this process the owner of the state folder, until all descriptors of the returned file are closed, in
+// each process that has one.
 func lockState(dir string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockFileName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -69,8 +96,8 @@
 	return f, nil
 }
 
-// handoverSocketPath names the socket by a path that is short enough for its kind, whatever the folder's. The file is to be
-// closed once the name has been used.
+// handoverSocketPath returns a path to the socket that is short enough for a unix address, however long the folder's
+// path is. The caller closes the file once the path has been used.
 func handoverSocketPath(dir string) (string, *os.File, error) {
 	d, err := os.Open(dir)
 	if err != nil {
@@ -79,7 +106,7 @@
 	return fmt.Sprintf("/proc/self/fd/%d/%s", d.Fd(), handoverSocketName), d, nil
 }
 
-// listenHandover opens the socket for successors. Only the owner of the state may.
+// listenHandover opens the handover socket. Only the owner of the state may do so.
 func listenHandover(dir string) (*net.UnixListener, error) {
 	if err := os.Remove(filepath.Join(dir, handoverSocketName)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
@@ -93,11 +120,11 @@
 	if err != nil {
 		return nil, err
 	}
-	ln.SetUnlinkOnClose(false) // by then the name may be a successor's
+	ln.SetUnlinkOnClose(false) // by then the name may belong to a successor
 	return ln, nil
 }
 
-// acceptSuccessors lets successors in, one after the other, until the listener is closed.
+// acceptSuccessors reads the requests of successors, one at a time, and passes them to the loop, until work is done.
 func (n *Node) acceptSuccessors(work context.Context, ln *net.UnixListener) {
 	defer context.AfterFunc(work, func() { ln.Close() })()
 	for {
@@ -111,10 +138,10 @@
 		conn.SetDeadline(time.Now().Add(handoverRequestTimeout))
 		line, err := bufio.NewReader(io.LimitReader(conn, maxCommandBytes)).ReadString('\n')
 		line = strings.TrimSuffix(line, "\n")
-		admin, ok := strings.CutPrefix(line, handoverRequestText+" ")
+		adminAddr, ok := strings.CutPrefix(line, handoverRequestText+" ")
 		inRows := false
 		if !ok {
-			admin, inRows = strings.CutPrefix(line, handoverRequestRows+" ")
+			adminAddr, inRows = strings.CutPrefix(line, handoverRequestRows+" ")
 		}
 		if err != nil || !ok && !inRows {
 			n.log.Warn("handover to a process that does not ask for it in this form", "err", err)
@@ -123,33 +150,34 @@
 		}
 		conn.SetDeadline(time.Time{})
 		select {
-		case n.successors <- successor{conn, admin, inRows}:
+		case n.successors <- successor{conn, adminAddr, inRows}:
 		case <-work.Done():
 			conn.Close()
 		}
 	}
 }
 
-// successor is a process that asks to take over.
+// successor is a new process that has asked to take over.
 type successor struct {
 	conn      *net.UnixConn
-	adminAddr string // where operators call it; "-" if nowhere
-	takesRows bool   // it takes the tables row by row
+	adminAddr string // its address for operators; "-" if it has none
+	takesRows bool   // it takes the tables as rows
 }
 
-// handOver gives all to a successor and says whether it has taken it. The loop calls it: nothing is decided meanwhile.
-// If the successor dies first, all goes on here as it was. stopped ends the wait for it: then this process is about to
-// end, and the successor, if it has all, goes on.
-func (n *Node) handOver(work context.Context, to successor, stopped <-chan struct{}) bool {
-	defer to.conn.Close()
+// handOver hands the state over to a successor and reports whether this process must end. The loop calls it, so nothing
+// is decided meanwhile. If the successor fails before it has acknowledged the state, everything resumes here. stopped
+// ends the wait for the acknowledgement: this process is about to end then, and the successor goes on if it has the
+// whole state.
+func (n *Node) handOver(work context.Context, next successor, stopped <-chan struct{}) bool {
+	defer next.conn.Close()
 	if n.closing {
-		return false // it takes over once we have ended
+		return false // the successor takes over once this process has ended
 	}
 	if time.Now().Before(n.noHandoverBefore) {
-		return false // all would stand still for nothing once more
+		return false // another attempt would stall the sender and probably fail too
 	}
-	if names := n.nameCount(); !to.takesRows && names > maxStateTextBytes/minTextBytesPerName {
-		n.log.Warn("too much for a handover to a process that takes all in one text: it waits for our end", "names", names)
+	if names := n.nameCount(); !next.takesRows && names > maxStateTextBytes/minTextBytesPerName {
+		n.log.Warn("state is too large for a successor that takes it as one text; it has to wait until this process ends", "names", names)
 		return false
 	}
 	start := time.Now()
@@ -160,35 +188,36 @@
 		n.nextEvents = nil
 		n.executeActions(work, n.sender.ApplyWithoutSending(toMicros(time.Since(n.startedAt)), events))
 	}
-	p, conns, left := n.packState(to.takesRows)
-	err := n.sendState(to, p, conns, stopped)
+	state, conns, unsent := n.packState(next.takesRows)
+	err := n.sendState(next, state, conns, stopped)
 	if err != nil && !errors.Is(err, errHandedOver) {
 		n.log.Error("handover failed, going on", "err", err)
-		n.unfreeze(work, conns, left)
+		n.unfreeze(work, conns, unsent)
 		n.noHandoverBefore = time.Now().Add(handoverFailureDelay)
 		return false
 	}
-	n.clients.completeHandover(n.listener.Addr().String(), conns.clients, left)
-	for _, x := range conns.calls {
-		x.Close()
+	n.clients.completeHandover(n.listener.Addr().String(), conns.clients, unsent)
+	for _, conn := range conns.calls {
+		conn.Close()
 	}
-	for _, x := range conns.idle {
-		x.Close()
+	for _, conn := range conns.idle {
+		conn.Close()
 	}
 	n.listener.Close()
 	if n.admin != nil {
-		n.admin.redirect(to.adminAddr)
+		n.admin.redirect(next.adminAddr)
 	}
-	n.log.Info("handed over", "calls", len(p.Calls), "clients", len(p.Clients), "kept", len(left), "idle", len(p.Idle),
-		"held", len(p.Held), "bytes", p.bytesSent, "took", time.Since(start).String())
+	n.log.Info("handed over", "calls", len(state.Calls), "clients", len(state.Clients), "kept", len(unsent), "idle", len(state.Idle),
+		"held", len(state.Held), "bytes", state.bytesSent, "took", time.Since(start).String())
 	return true
 }
 
-// freeze lets what is under way come to a point where it can be handed over: requests have their answers, clients'
-// connections wait for the next, calls wait for their answers or have them.
+// freeze brings everything to a point where it can be handed over: requests are answered, clients' connections wait for
+// the next request, calls wait for their responses or have ended. Partially read requests have freezeTimeout to
+// complete.
 func (n *Node) freeze(work context.Context, start time.Time) {
-	look := time.NewTicker(freezePollInterval)
-	defer look.Stop()
+	ticker := time.NewTicker(freezePollInterval)
+	defer ticker.Stop()
 	n.clients.freeze()
 	n.listener.(*net.TCPListener).SetDeadline(time.Unix(1, 0))
 	for !n.clients.allFrozen(time.Since(start) > freezeTimeout) {
@@ -196,7 +225,7 @@
 		case ev := <-n.events:
 			n.handleEvent(ev)
 			n.step(work)
-		case <-look.C:
+		case <-ticker.C:
 			n.step(work)
 		}
 	}
@@ -205,7 +234,7 @@
 		select {
 		case ev := <-n.events:
 			n.handleEvent(ev)
-		case <-look.C:
+		case <-ticker.C:
 		}
 	}
 	for more := true; more; {
@@ -218,8 +247,8 @@
 	}
 }
 
-// parkSentCalls sets calls aside that only wait for their answers, and counts those that have still to come to that or to
-// their outcome.
+// parkSentCalls begins to park calls that only wait for their responses, and returns the number of calls that are
+// neither parked nor ended yet.
 func (n *Node) parkSentCalls() (count int) {
 	for _, h := range n.held {
 		if h.cancelCall == nil || h.parkedConn != nil {
@@ -239,79 +268,80 @@
 	idle          []*endpointConn
 	idleEndpoints []logic.EndpointID
 	clients       []net.Conn
-	callMessages  []*heldMessage // of calls
+	callMessages  []*heldMessage // the messages of calls, in the same order
 }
 
-// packState makes the state transfer. Both processes together may hold so many descriptors: what goes beyond that stays here, calls
-// going first and idle connections last.
+// packState makes the state transfer. maxDescriptors bounds both processes together, so the successor gets at most half
+// of them, less a reserve. Calls have priority, then clients, then idle connections. Clients beyond the bound are
+// returned and stay here; idle connections beyond it are closed.
 func (n *Node) packState(inRows bool) (*stateTransfer, *transferConns, []net.Conn) {
-	p := &stateTransfer{At: n.clock.NowMicros(), Clock: toMicros(time.Since(n.startedAt)), Discovery: n.watcher.BaseURL(),
+	state := &stateTransfer{At: n.clock.NowMicros(), Clock: toMicros(time.Since(n.startedAt)), Discovery: n.watcher.BaseURL(),
 		Generation: n.listGeneration, Recent: map[string]int64{}}
 	if inRows {
-		p.Module, p.Names = n.sender.SaveWithoutTables(), n.nameCount()
+		state.Module, state.Names = n.sender.SaveWithoutTables(), n.nameCount()
 	} else {
-		p.Module, p.IDs, p.Targets = n.sender.Save(), map[string]logic.EndpointID{}, map[logic.EndpointID]transferTarget{}
+		state.Module, state.IDs, state.Targets = n.sender.Save(), map[string]logic.EndpointID{}, map[logic.EndpointID]transferTarget{}
 		for name, id := range n.directory.Names() {
-			p.IDs[name] = id
+			state.IDs[name] = id
 		}
-		for _, id := range p.IDs {
+		for _, id := range state.IDs {
 			if t, ok := n.directory.Target(id); ok {
-				p.Targets[id] = transferTarget{t.Address, t.ZoneIndex, t.KindIndex, t.Destination, t.Lifecycle, t.Weight}
+				state.Targets[id] = transferTarget{t.Address, t.ZoneIndex, t.KindIndex, t.Destination, t.Lifecycle, t.Weight}
 			}
 		}
 	}
 	for id, t := range n.recentIDs {
-		p.Recent[id] = n.clock.Micros(t)
+		state.Recent[id] = n.clock.Micros(t)
 	}
-	room := n.maxDescriptors/2 - handoverReservedDescriptors
-	c := &transferConns{}
+	descriptorsLeft := n.maxDescriptors/2 - handoverReservedDescriptors
+	conns := &transferConns{}
 	for id, h := range n.held {
-		p.Held = append(p.Held, transferHeld{id, h.attempts, h.ended, h.message.Deadline})
+		state.Held = append(state.Held, transferHeld{id, h.attempts, h.ended, h.message.Deadline})
 		if h.parkedConn != nil {
-			in := h.call
-			got, _ := h.parkedConn.reader.Peek(h.parkedConn.reader.Buffered())
-			p.Calls = append(p.Calls, transferCall{id, in.attempt, in.endpoint, n.clock.Micros(in.startedAt),
-				n.clock.Micros(in.startedAt.Add(in.timeout)), got})
-			c.calls, c.callMessages = append(c.calls, h.parkedConn), append(c.callMessages, h)
-			room--
+			call := h.call
+			received, _ := h.parkedConn.reader.Peek(h.parkedConn.reader.Buffered())
+			state.Calls = append(state.Calls, transferCall{id, call.attempt, call.endpoint, n.clock.Micros(call.startedAt),
+				n.clock.Micros(call.startedAt.Add(call.timeout)), received})
+			conns.calls, conns.callMessages = append(conns.calls, h.parkedConn), append(conns.callMessages, h)
+			descriptorsLeft--
 		}
 	}
 	parked, states := n.clients.parkedConns()
-	some := max(min(len(parked), room), 0)
-	c.clients, p.Clients = parked[:some], states[:some]
-	room -= some
+	sent := max(min(len(parked), descriptorsLeft), 0)
+	conns.clients, state.Clients = parked[:sent], states[:sent]
+	descriptorsLeft -= sent
 	for ep, list := range n.transport.takeAllIdle() {
 		for _, conn := range list {
-			if room--; room < 0 {
+			if descriptorsLeft--; descriptorsLeft < 0 {
 				conn.Close()
 				continue
 			}
-			c.idle, c.idleEndpoints = append(c.idle, conn), append(c.idleEndpoints, ep)
-			p.Idle = append(p.Idle, transferIdle{ep, n.clock.Micros(conn.idleSince)})
+			conns.idle, conns.idleEndpoints = append(conns.idle, conn), append(conns.idleEndpoints, ep)
+			state.Idle = append(state.Idle, transferIdle{ep, n.clock.Micros(conn.idleSince)})
 		}
 	}
-	return p, c, parked[some:]
+	return state, conns, parked[sent:]
 }
 
-// sendState writes the state and waits until the successor has taken it or is gone. errHanded says that this process must
-// end without knowing.
-func (n *Node) sendState(next successor, p *stateTransfer, c *transferConns, stopped <-chan struct{}) error {
-	to := next.conn
-	text, err := json.Marshal(p)
+// sendState writes the state and waits until the successor has acknowledged it or is gone. errHandedOver means that
+// this process is being stopped and must end without knowing whether the successor has the state.
+func (n *Node) sendState(next successor, state *stateTransfer, conns *transferConns, stopped <-chan struct{}) error {
+	conn := next.conn
+	text, err := json.Marshal(state)
 	if err != nil {
 		return err
 	}
 	if len(text) > maxStateTextBytes {
-		return fmt.Errorf("a text of %d bytes", len(text))
+		return fmt.Errorf("state text of %d bytes exceeds the limit", len(text))
 	}
 	fds := []int{int(n.lockFile.Fd())}
 	all := []syscall.Conn{n.listener.(*net.TCPListener)}
-	for _, list := range [][]*endpointConn{c.calls, c.idle} {
+	for _, list := range [][]*endpointConn{conns.calls, conns.idle} {
 		for _, x := range list {
 			all = append(all, x.Conn.(syscall.Conn))
 		}
 	}
-	for _, x := range c.clients {
+	for _, x := range conns.clients {
 		all = append(all, x.(syscall.Conn))
 	}
 	for _, x := range all {
@@ -319,48 +349,48 @@
 		if err != nil {
 			return err
 		}
-		// The number stays good after Control: nobody else closes what is set aside.
+		// The number stays valid after Control: nothing else closes a parked connection.
 		if err := raw.Control(func(fd uintptr) { fds = append(fds, int(fd)) }); err != nil {
 			return err
 		}
 	}
 	head := binary.LittleEndian.AppendUint32(nil, uint32(len(fds)))
-	if _, err := to.Write(binary.LittleEndian.AppendUint32(head, uint32(len(text)))); err != nil {
+	if _, err := conn.Write(binary.LittleEndian.AppendUint32(head, uint32(len(text)))); err != nil {
 		return err
 	}
 	for len(fds) > 0 {
 		part := fds[:min(len(fds), maxDescriptorsPerMessage)]
-		if _, _, err := to.WriteMsgUnix([]byte{'f'}, syscall.UnixRights(part...), nil); err != nil {
+		if _, _, err := conn.WriteMsgUnix([]byte{'f'}, syscall.UnixRights(part...), nil); err != nil {
 			return err
 		}
 		fds = fds[len(part):]
 	}
-	out := bufio.NewWriterSize(stallTimeoutWriter{to, &p.bytesSent}, 1<<16)
-	out.Write(text) // an error shows at the end
+	out := bufio.NewWriterSize(stallTimeoutWriter{conn, &state.bytesSent}, 1<<16)
+	out.Write(text) // Flush returns an error
 	if next.takesRows {
 		n.writeRows(out)
 	}
 	if err := out.Flush(); err != nil {
 		return err
 	}
-	heard := make(chan error, 1)
-	go func() { // ends with the connection, which the caller closes
+	acknowledged := make(chan error, 1)
+	go func() { // ends when the caller closes the connection
 		line := make([]byte, len(handoverAck))
-		_, err := io.ReadFull(to, line)
-		heard <- err
+		_, err := io.ReadFull(conn, line)
+		acknowledged <- err
 	}()
 	select {
-	case err := <-heard:
+	case err := <-acknowledged:
 		return err
 	case <-stopped:
 		return errHandedOver
 	}
 }
 
-// stallTimeoutWriter writes as long as the other side takes something now and then.
+// stallTimeoutWriter fails once the reader has taken nothing for handoverStallTimeout.
 type stallTimeoutWriter struct {
 	*net.UnixConn
-	written *int // bytes written
+	written *int // total, in bytes
 }
 
 func (c stallTimeoutWriter) Write(b []byte) (n int, err error) {
@@ -374,20 +404,20 @@
 	return n, err
 }
 
-// unfreeze goes on with what was packed, since nobody has taken it.
-func (n *Node) unfreeze(work context.Context, c *transferConns, left []net.Conn) {
-	for i, h := range c.callMessages {
+// unfreeze resumes everything that was packed, after a transfer that failed.
+func (n *Node) unfreeze(work context.Context, conns *transferConns, unsent []net.Conn) {
+	for i, h := range conns.callMessages {
 		h.parkedConn = nil
 		h.call.state.Store(callSent)
-		n.resumeCall(work, h, c.calls[i])
+		n.resumeCall(work, h, conns.calls[i])
 	}
-	for i, conn := range c.idle {
-		if !n.transport.putIdle(c.idleEndpoints[i], conn) {
+	for i, conn := range conns.idle {
+		if !n.transport.putIdle(conns.idleEndpoints[i], conn) {
 			conn.Close()
 		}
 	}
 	n.listener.(*net.TCPListener).SetDeadline(time.Time{})
-	n.clients.unfreeze(append(c.clients, left...))
+	n.clients.unfreeze(append(conns.clients, unsent...))
 	go n.clients.serve(n.listener)
 	n.setReadiness(nil)
 	n.step(work)
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -12,7 +12,7 @@
 	"crossdeal/internal/discovery"
 )
 
-// startUpgradeProcess is a sender with one endpoint, as a process.
+// startUpgradeProcess starts a sender with one endpoint as a process of its own.
 func startUpgradeProcess(t *testing.T) (p *testPlatform, e *testEndpoint, dir string, known discovery.List, x *process) {
 	t.Helper()
 	p, e, dir = newTestPlatform(t), newTestEndpoint(t), t.TempDir()
@@ -21,8 +21,8 @@
 	return p, e, dir, known, startProcess(t, p, dir, known)
 }
 
-// A new process takes all over: the client's connection, the unsafe call that is out on its own connection, the told
-// wait, what an operator took out, and what is owed. The old one ends by itself.
+// A new process takes everything over: the client's connection, the unsafe call in flight with its connection, the wait
+// of a destination, the endpoint that an operator took out, and the messages. The old process ends by itself.
 func TestUpgradeHandsEverythingOver(t *testing.T) {
 	p, e, dir, known, old := startUpgradeProcess(t)
 	other := newTestEndpoint(t)
@@ -35,12 +35,12 @@
 	if got := c.do("MSG.PUT", "0", "w", "c=unsafe,d=10000,dest=2", "x"); got != "+OK" {
 		t.Fatalf("got %q", got)
 	}
-	await(t, other.calls, "call").reply(429, "X-Come-Back-Ms: 60000") // also what was put in later must wait
+	await(t, other.calls, "call").reply(429, "X-Come-Back-Ms: 60000") // messages put later must wait too
 	c.put("a", "unsafe", "+OK")
 	in := await(t, e.calls, "call")
 	half := dialClient(t, old.addr)
 	io.WriteString(half.conn, "*5\r\n$7\r\nMSG.PUT\r\n$1\r\n0\r\n$1\r\nh\r\n$23\r\nc=unsafe,d=10000,dest=1\r\n$4\r\nbo")
-	c.do("PING") // by now the half has come too, or comes to whoever reads it
+	c.do("PING") // the partial request has arrived by now, or arrives at the process that reads it next
 
 	x := startProcessAt(t, p, dir, known, old.addr)
 	if x.addr != old.addr {
@@ -48,24 +48,24 @@
 	}
 	expectOperatorAnswer(t, x.adminAddr, "ready", "ok")
 	if got := callOperator(t, old.adminAddr, "ready\n"); got == "ok\n" {
-		t.Error("the old process is ready still")
+		t.Error("old process still reports that it is ready")
 	}
 	expectOperatorAnswer(t, old.adminAddr, "disable-server s-9", "fail no such endpoint")
-	c.put("a", "unsafe", "+OK") // known, so not taken on again
+	c.put("a", "unsafe", "+OK") // a known id, so not accepted again
 	in.reply(200)
 	c.put("b", "unsafe", "+OK") // on the connection that the old process had accepted
 	second := await(t, e.calls, "call of the new process")
 	if second.id() != "b" || second.conn.RemoteAddr().String() != in.conn.RemoteAddr().String() {
-		t.Errorf("call with %s from %v, want b on the kept connection %v", second.id(), second.conn.RemoteAddr(), in.conn.RemoteAddr())
+		t.Errorf("call with message %s from %v, want b on the connection from %v", second.id(), second.conn.RemoteAddr(), in.conn.RemoteAddr())
 	}
 	second.reply(200)
 	io.WriteString(half.conn, "dy\r\n")
 	if got := half.readLine(); got != "+OK" {
-		t.Errorf("half-read request: %q", got)
+		t.Errorf("partially read request: %q", got)
 	}
-	last := await(t, e.calls, "call for the half-read request")
+	last := await(t, e.calls, "call for the partially read request")
 	if last.id() != "h" || last.body != "body" {
-		t.Errorf("call with %s, body %q", last.id(), last.body)
+		t.Errorf("call with message %s, body %q", last.id(), last.body)
 	}
 	last.reply(200)
 	old.terminate()
@@ -73,7 +73,7 @@
 	if got := c.do("MSG.PUT", "0", "w2", "c=unsafe,d=600,dest=2", "x"); got != "+OK" {
 		t.Fatalf("got %q", got)
 	}
-	if n := await(t, p.notices, "notice"); n.ID != "w2" || n.State != "returned" { // the wait still holds
+	if n := await(t, p.notices, "notice"); n.ID != "w2" || n.State != "returned" { // the wait still applies
 		t.Errorf("notice %+v", n)
 	}
 	other.expectNoCall(t)
@@ -83,10 +83,10 @@
 	e.expectNoCall(t)
 }
 
-// A second process must not listen, write the journal or send while it waits for its turn.
+// A second process must not listen, write the journal or send while it waits for the lock.
 func TestSecondProcessWaitsForTheLock(t *testing.T) {
 	p, e, dir, known, old := startUpgradeProcess(t)
-	if err := os.Remove(filepath.Join(dir, handoverSocketName)); err != nil { // an owner that hands nothing over
+	if err := os.Remove(filepath.Join(dir, handoverSocketName)); err != nil { // so that no handover is possible
 		t.Fatal(err)
 	}
 	c := dialClient(t, old.addr)
@@ -107,23 +107,23 @@
 	expectOperatorAnswer(t, d.address().String(), "ready", "fail")
 	select {
 	case <-ready:
-		t.Fatal("ready beside the owner")
+		t.Fatal("second process is ready while the owner runs")
 	default:
 	}
 	old.kill()
 	n := await(t, ready, "sender after the owner's death")
 	expectOperatorAnswer(t, n.admin.address().String(), "ready", "ok")
-	await(t, e.calls, "call again").reply(200)
+	await(t, e.calls, "second call").reply(200)
 }
 
-// requestStateAsText takes the state as a new process does.
+// requestStateAsText requests the state as a new process does, in the text format.
 func requestStateAsText(t *testing.T, dir string) *net.UnixConn {
 	t.Helper()
 	return requestStateInFormat(t, dir, handoverRequestText)
 }
 
-// requestStateInFormat is the same with the word for a form.
-func requestStateInFormat(t *testing.T, dir, word string) *net.UnixConn {
+// requestStateInFormat requests the state in a format.
+func requestStateInFormat(t *testing.T, dir, format string) *net.UnixConn {
 	t.Helper()
 	path, d, err := handoverSocketPath(dir)
 	if err != nil {
@@ -134,23 +134,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.WriteString(conn, word+" -\n"); err != nil {
+	if _, err := io.WriteString(conn, format+" -\n"); err != nil {
 		t.Fatal(err)
 	}
 	return conn
 }
 
-// A new process that dies before it has taken the state leaves the old one as it was: connections, calls and all.
+// If the new process dies before it has acknowledged the state, the old one resumes with all of its connections and
+// calls.
 func TestUpgradeSuccessorDies(t *testing.T) {
 	for _, x := range []struct {
-		read int
-		word string
-	}{{0, handoverRequestText}, {8, handoverRequestText}, {0, handoverRequestRows}, {8, handoverRequestRows}} { // at once, or having read the head
-		t.Run(fmt.Sprint(x.read, " ", x.word), func(t *testing.T) {
+		read   int // bytes before the successor dies: none, or the head
+		format string
+	}{{0, handoverRequestText}, {8, handoverRequestText}, {0, handoverRequestRows}, {8, handoverRequestRows}} {
+		t.Run(fmt.Sprint(x.read, " ", x.format), func(t *testing.T) {
 			n, c, _, eps := startNodeWithEndpoints(t, 1)
 			c.put("a", "unsafe", "+OK")
 			in := await(t, eps[0].calls, "call")
-			conn := requestStateInFormat(t, n.cfg.StateDir, x.word)
+			conn := requestStateInFormat(t, n.cfg.StateDir, x.format)
 			if _, err := io.ReadFull(conn, make([]byte, x.read)); err != nil {
 				t.Fatal(err)
 			}
@@ -159,7 +160,7 @@
 			c.put("b", "unsafe", "+OK")
 			second := await(t, eps[0].calls, "call")
 			if second.id() != "b" {
-				t.Errorf("call with %s", second.id())
+				t.Errorf("call with message %s", second.id())
 			}
 			second.reply(200)
 			dialClient(t, n.addr).put("c", "unsafe", "+OK")
@@ -168,7 +169,8 @@
 	}
 }
 
-// A process that dies with the state sent and not taken: the next start finds all in the journal.
+// If the owner dies after it has sent the state and before the acknowledgement, the next start resumes from the
+// journal.
 func TestUpgradeOwnerDies(t *testing.T) {
 	p, e, dir, known, old := startUpgradeProcess(t)
 	c := dialClient(t, old.addr)
@@ -189,23 +191,23 @@
 	e.expectNoCall(t)
 }
 
-// An answer of which a part has come goes over with its call: a handover must not wait for the rest.
+// A partially received response is handed over with its call: the handover must not wait for the rest.
 func TestUpgradeWithPartialAnswer(t *testing.T) {
 	p, e, dir, known, old := startUpgradeProcess(t)
 	c := dialClient(t, old.addr)
 	c.put("a", "unsafe", "+OK")
 	in := await(t, e.calls, "call")
 	io.WriteString(in.conn, "HTTP/1.1 503 x\r\nContent-Le")
-	at := time.Now()
+	startedAt := time.Now()
 	x := startProcessAt(t, p, dir, known, old.addr)
-	if took := time.Since(at); took > headerTimeout*3/4 {
+	if took := time.Since(startedAt); took > headerTimeout*3/4 {
 		t.Errorf("taken over after %v", took)
 	}
 	io.WriteString(in.conn, "ngth: 0\r\n\r\n")
 	in.keepReading <- true
-	again := await(t, e.calls, "call again: the first was turned away, which both halves say together")
+	again := await(t, e.calls, "second call, after the first was rejected by the response in two parts")
 	if again.id() != "a" {
-		t.Errorf("call with %s", again.id())
+		t.Errorf("call with message %s", again.id())
 	}
 	again.reply(200)
 	x.terminate()
--- a/internal/node/harness_test.go
+++ b/internal/node/harness_test.go
@@ -1,5 +1,7 @@
 package node
 
+// The test harness: endpoints, a platform, clients and senders for tests on real sockets.
+
 import (
 	"bufio"
 	"context"
@@ -19,37 +21,37 @@
 	"crossdeal/internal/discovery"
 )
 
-// testTimeout bounds every wait for an event: it is not reached unless a test fails.
+// testTimeout bounds every wait for an event. It is reached only if a test fails.
 const testTimeout = 20 * time.Second
 
-// await returns the next value of ch.
+// await returns the next value of ch. what names it in failures.
 func await[T any](t *testing.T, ch <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v, ok := <-ch:
 		if !ok {
-			t.Fatalf("no more %s", what)
+			t.Fatalf("channel closed while waiting for %s", what)
 		}
 		return v
 	case <-time.After(testTimeout):
-		t.Fatalf("no %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 	}
 	panic("unreachable")
 }
 
-// receivedCall is a whole request that has come to an endpoint.
+// receivedCall is a complete request that an endpoint has received.
 type receivedCall struct {
 	request     *http.Request
 	body        string
 	receivedAt  time.Time
 	conn        *net.TCPConn
 	reader      *bufio.Reader
-	keepReading chan bool // whether the endpoint goes on reading
+	keepReading chan bool // gets whether the endpoint reads another request from the connection
 }
 
 func (c *receivedCall) id() string { return c.request.Header.Get("X-Trace-Id") }
 
-// reply answers and keeps the connection.
+// reply sends a response and keeps the connection open.
 func (c *receivedCall) reply(status int, headers ...string) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n", status)
@@ -60,34 +62,34 @@
 	c.keepReading <- true
 }
 
-// replyAndClose answers and closes the connection without saying so first.
+// replyAndClose sends a response and closes the connection without a Connection: close header.
 func (c *receivedCall) replyAndClose(status int) {
 	fmt.Fprintf(c.conn, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", status)
 	c.conn.Close()
 	c.keepReading <- false
 }
 
-// reset breaks the connection.
+// reset aborts the connection with a TCP reset.
 func (c *receivedCall) reset() {
 	c.conn.SetLinger(0)
 	c.conn.Close()
 	c.keepReading <- false
 }
 
-// awaitClose waits until the sender has ended its side of the connection.
+// awaitClose waits until the sender has closed its side of the connection.
 func (c *receivedCall) awaitClose(t *testing.T) {
 	t.Helper()
 	c.conn.SetReadDeadline(time.Now().Add(testTimeout))
 	if n, err := c.reader.Read(make([]byte, 1)); n != 0 || isTimeout(err) {
-		t.Fatalf("connection goes on: %d bytes, %v", n, err)
+		t.Fatalf("connection is not closed: read %d bytes, %v", n, err)
 	}
 }
 
-// testEndpoint is the other side of calls: a test answers each by hand.
+// testEndpoint is an endpoint whose calls the test answers one by one.
 type testEndpoint struct {
 	listener net.Listener
 	calls    chan *receivedCall
-	conns    chan net.Conn // each that is accepted
+	conns    chan net.Conn // accepted connections
 }
 
 func newTestEndpoint(t *testing.T) *testEndpoint {
@@ -134,30 +136,30 @@
 
 func (e *testEndpoint) addr() string { return e.listener.Addr().String() }
 
-// expectNoCall checks that nothing has come that was not waited for.
+// expectNoCall checks that no further call has been received.
 func (e *testEndpoint) expectNoCall(t *testing.T) {
 	t.Helper()
 	select {
 	case c := <-e.calls:
-		t.Fatalf("call with %s", c.id())
+		t.Fatalf("unexpected call with message %s", c.id())
 	default:
 	}
 }
 
-// testPlatform stands for discovery and for what hears of ends.
+// testPlatform stands for the platform: discovery, and the receiver of notices.
 type testPlatform struct {
 	server          *httptest.Server
 	notices         chan Notice
-	listRequests    chan string // each call for the list
-	rejectedNotices chan int    // each notice turned away: the number of lines
+	listRequests    chan string // query of each request for the list
+	rejectedNotices chan int    // number of notices in each rejected request
 	mu              sync.Mutex
 	list            discovery.List
 	listChanged     chan struct{} // closed when the list changes
-	down            bool          // answers 503 to all
-	unresponsive    bool          // never answers a call for the list
-	listDelay       time.Duration // of its answer to the next call for the list
-	rejectNotices   bool          // turns notices away
-	truncateLists   bool          // its lists break off half way
+	down            bool          // answers 503 to all requests for the list
+	unresponsive    bool          // never answers a request for the list
+	listDelay       time.Duration // delays the response to the next request for the list
+	rejectNotices   bool          // rejects notices with 503
+	truncateLists   bool          // sends only the first half of a list
 }
 
 func newTestPlatform(t *testing.T) *testPlatform {
@@ -185,35 +187,35 @@
 	from, _ := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	hold, _ := strconv.ParseInt(r.URL.Query().Get("hold_ms"), 10, 64)
 	p.mu.Lock()
-	late := p.listDelay
+	delay := p.listDelay
 	p.listDelay = 0
 	p.mu.Unlock()
-	time.Sleep(late)
-	over := time.NewTimer(time.Duration(hold) * time.Millisecond)
-	defer over.Stop()
+	time.Sleep(delay)
+	holdTimer := time.NewTimer(time.Duration(hold) * time.Millisecond)
+	defer holdTimer.Stop()
 	for {
 		p.mu.Lock()
-		list, news, down, silent, cut := p.list, p.listChanged, p.down, p.unresponsive, p.truncateLists
+		list, changed, down, unresponsive, truncate := p.list, p.listChanged, p.down, p.unresponsive, p.truncateLists
 		p.mu.Unlock()
 		if down {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if !silent && list.Generation > from {
+		if !unresponsive && list.Generation > from {
 			text, err := json.Marshal(list)
 			if err != nil {
 				panic(err)
 			}
-			if cut {
+			if truncate {
 				text = text[:len(text)/2]
 			}
 			w.Write(text)
 			return
 		}
 		select {
-		case <-news:
-		case <-over.C:
-			if !silent {
+		case <-changed:
+		case <-holdTimer.C:
+			if !unresponsive {
 				fmt.Fprintf(w, `{"generation":%d,"reset":false,"instances":[]}`, list.Generation)
 				return
 			}
@@ -225,39 +227,39 @@
 
 func (p *testPlatform) serveOutcomes(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	deaf := p.rejectNotices
+	reject := p.rejectNotices
 	p.mu.Unlock()
 	var lines []Notice
 	for dec := json.NewDecoder(r.Body); dec.More(); {
-		var x Notice
-		if err := dec.Decode(&x); err != nil {
+		var notice Notice
+		if err := dec.Decode(&notice); err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		lines = append(lines, x)
+		lines = append(lines, notice)
 	}
-	if deaf {
+	if reject {
 		p.rejectedNotices <- len(lines)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
-	for _, x := range lines {
-		p.notices <- x
+	for _, notice := range lines {
+		p.notices <- notice
 	}
 }
 
-// instancesOf lists endpoints of destination 1.
-func instancesOf(eps ...*testEndpoint) []discovery.Instance {
-	var out []discovery.Instance
-	for i, e := range eps {
-		out = append(out, discovery.Instance{ID: fmt.Sprintf("s-%d", i), HostPort: e.addr(), Zone: "a", Kind: "std", Destination: 1,
+// instancesOf returns list entries for endpoints, named s-0, s-1 and so on, all of destination 1.
+func instancesOf(endpoints ...*testEndpoint) []discovery.Instance {
+	var instances []discovery.Instance
+	for i, e := range endpoints {
+		instances = append(instances, discovery.Instance{ID: fmt.Sprintf("s-%d", i), HostPort: e.addr(), Zone: "a", Kind: "std", Destination: 1,
 			Lifecycle: "up", Weight: 100})
 	}
-	return out
+	return instances
 }
 
-// testSettings are those of the tests: one class of each effect.
+// testSettings are the settings of the tests, with one class of each effect.
 const testSettings = `{"balancers":1,"me":0,"zone":0,"zones":["a","b"],"tick_s":0.005,"membership_mode":"on_request",
 "weights":"nominal","over_share_worth":0.2,"machine_types":["std"],
 "classes":[
@@ -271,7 +273,7 @@
 "rules":{"cold_from":0.2,"drain_grace_s":2,"fall_multiple":2,"fall_s":3,"warm_after_s":14},
 "specifics":{"batch_by_kind":[1],"call_slots":6,"late":"halves","separate_routes":[false]}}`
 
-// configText is a configuration file.
+// configText returns the text of a configuration file.
 func configText(p *testPlatform, known discovery.List) []byte {
 	b, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:0",
 		"discovery": strings.TrimPrefix(p.server.URL, "http://"), "seed": "1f",
@@ -283,7 +285,7 @@
 	return b
 }
 
-// testNode is a sender under test, in this process.
+// testNode is a sender that runs in the test process.
 type testNode struct {
 	*Node
 	addr string
@@ -291,34 +293,34 @@
 	done chan error
 }
 
-func startNode(t *testing.T, p *testPlatform, dir string, known discovery.List, with ...func(*Node)) *testNode {
+func startNode(t *testing.T, p *testPlatform, dir string, known discovery.List, setup ...func(*Node)) *testNode {
 	t.Helper()
 	cfg, err := ParseConfig(configText(p, known))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return startNodeWithConfig(t, cfg, dir, with...)
+	return startNodeWithConfig(t, cfg, dir, setup...)
 }
 
-func startNodeWithConfig(t *testing.T, cfg *Config, dir string, with ...func(*Node)) *testNode {
+func startNodeWithConfig(t *testing.T, cfg *Config, dir string, setup ...func(*Node)) *testNode {
 	t.Helper()
 	cfg.StateDir = dir
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range with {
+	for _, f := range setup {
 		f(n)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	x := &testNode{Node: n, stop: stop, done: make(chan error, 1)}
-	go func() { x.done <- n.Run(ctx) }()
-	x.addr = await(t, n.ready, "ready sender").String()
+	running := &testNode{Node: n, stop: stop, done: make(chan error, 1)}
+	go func() { running.done <- n.Run(ctx) }()
+	running.addr = await(t, n.ready, "ready sender").String()
 	t.Cleanup(stop)
-	return x
+	return running
 }
 
-// testClient is a client's connection.
+// testClient is a client with one connection.
 type testClient struct {
 	t      *testing.T
 	conn   net.Conn
@@ -336,7 +338,7 @@
 	return &testClient{t, conn, bufio.NewReader(conn)}
 }
 
-// encodeRequest is a request in RESP2.
+// encodeRequest encodes a request in RESP2.
 func encodeRequest(args ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(args))
@@ -353,12 +355,12 @@
 	}
 }
 
-// readLine reads an answer; empty once the sender has closed the connection.
+// readLine returns the next line of an answer; empty once the sender has closed the connection.
 func (c *testClient) readLine() string {
 	c.t.Helper()
 	s, err := c.reader.ReadString('\n')
 	if isTimeout(err) {
-		c.t.Fatal("no answer")
+		c.t.Fatal("timed out waiting for an answer")
 	}
 	return strings.TrimRight(s, "\r\n")
 }
@@ -369,7 +371,7 @@
 	return c.readLine()
 }
 
-// put hands a message in and checks the answer.
+// put submits a message and checks the answer.
 func (c *testClient) put(id, class, want string) {
 	c.t.Helper()
 	c.putWithTime(id, class, 10000, want)
@@ -383,8 +385,8 @@
 	}
 }
 
-// startNodeWithEndpoints is a sender with endpoints and a platform.
-func startNodeWithEndpoints(t *testing.T, endpoints int, with ...func(*Node)) (*testNode, *testClient, *testPlatform, []*testEndpoint) {
+// startNodeWithEndpoints starts a sender with endpoints, a platform and a client.
+func startNodeWithEndpoints(t *testing.T, endpoints int, setup ...func(*Node)) (*testNode, *testClient, *testPlatform, []*testEndpoint) {
 	t.Helper()
 	p := newTestPlatform(t)
 	var eps []*testEndpoint
@@ -393,6 +395,6 @@
 	}
 	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(eps...)}
 	p.list = known
-	n := startNode(t, p, t.TempDir(), known, with...)
+	n := startNode(t, p, t.TempDir(), known, setup...)
 	return n, dialClient(t, n.addr), p, eps
 }
--- a/internal/node/initial_list_test.go
+++ b/internal/node/initial_list_test.go
@@ -11,22 +11,22 @@
 	"crossdeal/internal/discovery"
 )
 
-// awaitSavedList waits until a folder has a saved list of that generation.
+// awaitSavedList waits until a folder has a saved list of a generation.
 func awaitSavedList(t *testing.T, dir string, generation int64) {
 	t.Helper()
 	for stop := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		text, err := os.ReadFile(filepath.Join(dir, "list"))
-		if err == nil { // of a copy: the store is the sender's
-			at := t.TempDir()
-			if err := os.WriteFile(filepath.Join(at, "list"), text, 0o600); err != nil {
+		if err == nil { // read a copy, since the sender uses the file
+			copyDir := t.TempDir()
+			if err := os.WriteFile(filepath.Join(copyDir, "list"), text, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if saved, err := discovery.OpenStore(at, 1<<20, slog.New(slog.DiscardHandler)).Peek(); err == nil && saved.Generation == generation {
+			if saved, err := discovery.OpenStore(copyDir, 1<<20, slog.New(slog.DiscardHandler)).Peek(); err == nil && saved.Generation == generation {
 				return
 			}
 		}
 		if time.Now().After(stop) {
-			t.Fatalf("no saved list of generation %d", generation)
+			t.Fatalf("timed out waiting for a saved list of generation %d", generation)
 		}
 	}
 }
@@ -39,8 +39,8 @@
 	}
 }
 
-// A sender that starts again goes on from the list that it had, though discovery is down and the configuration has an
-// older one or none, and asks for changes only.
+// A restarted sender starts from its saved list and requests only changes since, although discovery does not respond
+// and the configuration has an older list or none.
 func TestRestartStartsFromSavedList(t *testing.T) {
 	for _, known := range []discovery.List{{}, {Generation: 1, Reset: true, Instances: []discovery.Instance{}}} {
 		p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
@@ -57,29 +57,30 @@
 			<-p.listRequests
 		}
 		n = startNode(t, p, dir, known)
-		if q := await(t, p.listRequests, "call"); !strings.HasPrefix(q, "from=6&") {
-			t.Errorf("asked %q, want what is newer than generation 6", q)
+		if q := await(t, p.listRequests, "list request"); !strings.HasPrefix(q, "from=6&") {
+			t.Errorf("requested %q, want changes since generation 6", q)
 		}
 		if n.directory.Len() != 1 {
-			t.Errorf("%d entries", n.directory.Len())
+			t.Errorf("%d entries, want 1", n.directory.Len())
 		}
 		c := dialClient(t, n.addr)
 		c.put("a", "safe", "+OK")
-		await(t, e.calls, "call to what the saved list has").reply(200)
+		await(t, e.calls, "call to an endpoint of the saved list").reply(200)
 		stopNode(t, n)
 	}
 }
 
-// The saved list counts only where it is newer than that of the configuration and comes from the discovery that is
-// asked; a list of another address serves until the whole list of the present one is there.
+// The saved list is used only if it is newer than the configured one and comes from the configured address of
+// discovery. A list of another address is used only without a configured one, until the whole list of the present
+// address arrives.
 func TestInitialListSelection(t *testing.T) {
 	e, other := newTestEndpoint(t), newTestEndpoint(t)
 	row := func(e *testEndpoint) []discovery.Instance { return instancesOf(e) }
 	for name, x := range map[string]struct {
-		origin     string // of the saved list; empty for that of the configuration
+		origin     string // of the saved list; empty for the configured address
 		saved      int64
 		known      discovery.List
-		spoil      bool
+		corrupt    bool
 		generation int64
 		addr       string
 	}{
@@ -103,7 +104,7 @@
 		if err := s.Replace(x.origin, x.saved, func(yield func(discovery.Instance) bool) { yield(row(e)[0]) }); err != nil {
 			t.Fatal(err)
 		}
-		if x.spoil {
+		if x.corrupt {
 			path := filepath.Join(cfg.StateDir, "list")
 			text, err := os.ReadFile(path)
 			if err != nil {
@@ -114,41 +115,42 @@
 				t.Fatal(err)
 			}
 		}
-		refused := make(chan bool, 1)
-		n, err := New(cfg, slog.New(notifyOnLogLine("the saved list is not used", refused)))
+		unused := make(chan bool, 1)
+		n, err := New(cfg, slog.New(notifyOnLogLine("the saved list is not used", unused)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		start := recordWatchStart(n)
 		n.resumeFromJournal()
 		id, _ := n.directory.LookupID("s-0")
-		if start.generation != x.generation || n.target(id).Address != x.addr || len(refused) != 0 != x.spoil || n.listGeneration != max(x.generation, 0) {
-			t.Errorf("%s: begins with generation %d and %q, refused %v", name, start.generation, n.target(id).Address, len(refused) != 0)
+		if start.generation != x.generation || n.target(id).Address != x.addr || len(unused) != 0 != x.corrupt || n.listGeneration != max(x.generation, 0) {
+			t.Errorf("%s: starts with generation %d and address %q, saved list unused %v", name, start.generation, n.target(id).Address, len(unused) != 0)
 		}
 		n.close()
 	}
 }
 
-// Journal and saved list together stay within the disk that the platform gives, counted in whole blocks, also while one
-// or both are rewritten; where there is little, no list is kept.
+// The journal and the saved list together stay within the disk limit, counted in whole blocks, even while both are
+// rewritten. With too little disk no list is saved.
 func TestJournalAndSavedListShareDisk(t *testing.T) {
 	block := func(n int64) int64 { return (n + 511) / 512 * 512 }
 	for _, x := range []struct {
-		disk float64
-		some bool
+		disk     float64
+		listKept bool
 	}{{0.01, false}, {0.1, false}, {0.5, true}, {3, true}, {64, true}, {1000, true}} {
 		l := Limits{MemoryMB: 192, DiskMB: x.disk}
 		disk, list := l.diskBytes(), l.listStoreBytes()
-		if used := 2*block(journalFileLimit(disk)) + list; used+4096 > disk && list > 0 || list > 0 != x.some || list < 0 {
+		if used := 2*block(journalFileLimit(disk)) + list; used+4096 > disk && list > 0 || list > 0 != x.listKept || list < 0 {
 			t.Errorf("%v MB: %d of %d bytes, %d of them for the list", x.disk, used, disk, list)
 		}
 	}
 	if list := (Limits{MemoryMB: 256}).listStoreBytes(); list != 64<<20 {
-		t.Errorf("no limit: %d bytes", list)
+		t.Errorf("no disk limit: %d bytes", list)
 	}
 }
 
-// A process that takes over knows what is listed from the saved list, if that is what was handed over.
+// A process that takes over learns the endpoint states from the saved list, if it has the generation that was handed
+// over.
 func TestTakeoverUsesMatchingSavedList(t *testing.T) {
 	for generation, want := range map[int64]bool{7: true, 8: false} {
 		cfg, err := ParseConfig(configText(newTestPlatform(t), discovery.List{}))
@@ -172,7 +174,7 @@
 		}
 		n.matchSavedList("http://"+cfg.DiscoveryAddr, generation)
 		if got := n.directory.AllStatesKnown() && n.directory.Len() == 2; got != want {
-			t.Errorf("generation %d: known %v, %d entries", generation, n.directory.AllStatesKnown(), n.directory.Len())
+			t.Errorf("generation %d: all states known %v, %d entries", generation, n.directory.AllStatesKnown(), n.directory.Len())
 		}
 		n.close()
 	}
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -1,5 +1,20 @@
 package node
 
+// The journal: the file of accepted messages from which a restarted process goes on.
+//
+// A record says what is about to happen to a message or what has happened to it. The order of writes makes a crash
+// safe:
+//   - opAccept is in the file before the client gets its +OK.
+//   - opConnect is in the file before a call connects, and opSend before the first byte of a call is written. After a
+//     crash an attempt with only opConnect has not run, and one with opSend and no outcome may have run.
+//   - opOutcome and opDone follow the end of an attempt, and opEndWithNotice comes before the notice is sent.
+//     opNoticeConfirmed follows the platform's confirmation, and the message leaves the journal.
+//     If writing one of these fails, the sender goes on, and the next rewrite of the file stores it.
+//   - opDisableEndpoint and opEnableEndpoint are in the file before the operator gets an answer.
+//
+// Records are written with plain writes and no fsync: they survive the death of the process, and not a crash of the
+// machine. A record that is torn by the death of the process is cut off at the next start.
+
 import (
 	"encoding/json"
 	"errors"
@@ -13,11 +28,11 @@
 	"crossdeal/internal/wal"
 )
 
-// Message is a message as a client handed it in.
+// Message is a message as a client submitted it.
 type Message struct {
 	ID             string `json:"id"`
-	IdempotencyKey string `json:"key,omitempty"`   // idempotency key
-	OrderKey       string `json:"order,omitempty"` // order key
+	IdempotencyKey string `json:"key,omitempty"`
+	OrderKey       string `json:"order,omitempty"`
 	Class          string `json:"class"`
 	Tenant         string `json:"tenant,omitempty"`
 	Destination    int64  `json:"dest"`
@@ -25,44 +40,43 @@
 	Body           []byte `json:"body,omitempty"`
 }
 
-// Notice is the end of a message as the platform is told of it.
+// Notice reports the end of a message to the platform.
 type Notice struct {
 	ID      string `json:"id"`
 	State   string `json:"state"` // failed or returned
 	AfterMS int64  `json:"after_ms,omitempty"`
 }
 
-// Entry is what the journal knows of a message that is not over, or whose end the
-// platform has yet to confirm.
+// Entry is the state of a message in the journal, which has not ended or whose notice the platform has not confirmed.
 type Entry struct {
 	Message
 	Attempts          int     `json:"tries,omitempty"`
-	Connecting        bool    `json:"begun,omitempty"`     // the last attempt has no outcome, and still connects
+	Connecting        bool    `json:"begun,omitempty"`     // the last attempt has no outcome and was not written
 	MaybeWritten      bool    `json:"open,omitempty"`      // the last attempt has no outcome, and may have been written
 	MayHaveRun        bool    `json:"may_run,omitempty"`   // an earlier one may have run
-	FirstMayHaveRunAt int64   `json:"first_may,omitempty"` // when the first that may have run was sent, Unix microseconds
-	FirstZone         int     `json:"zone,omitempty"`      // zone of its endpoint
+	FirstMayHaveRunAt int64   `json:"first_may,omitempty"` // send time of the first that may have run, Unix µs
+	FirstZone         int     `json:"zone,omitempty"`      // zone of the endpoint of that attempt
 	EndNotice         *Notice `json:"end,omitempty"`
 	sequence          int
 	sizeBytes         int
 }
 
-// op is the kind of a record.
+// op is the type of a record. Its numbers are part of the file format.
 type op byte
 
 const (
-	opAccept          op = iota + 1 // a message is taken on
+	opAccept          op = iota + 1 // a message is accepted
 	opSend                          // an attempt is about to be written
-	opOutcome                       // it has its outcome
-	opDone                          // delivered, or over without our word
-	opEndWithNotice                 // ended by us; the notice is owed
-	opNoticeConfirmed               // the notice is confirmed
-	opDisableEndpoint               // an operator has taken an endpoint out; the id is the endpoint's
-	opEnableEndpoint                // and put it back
-	opConnect                       // an attempt is about to connect; opSend follows once it may be written
+	opOutcome                       // the attempt has its outcome
+	opDone                          // the message is delivered, or the endpoint reports that it has ended; no notice
+	opEndWithNotice                 // the message was ended by this sender; its notice is to be sent
+	opNoticeConfirmed               // the platform has confirmed the notice
+	opDisableEndpoint               // an operator has taken an endpoint out; the record's id is the endpoint's name
+	opEnableEndpoint                // an operator has put an endpoint back
+	opConnect                       // an attempt is about to connect; opSend follows when it may be written
 )
 
-// record is one line of the journal.
+// record is a record of the journal, stored as JSON in a frame of package wal.
 type record struct {
 	Op         op      `json:"op"`
 	ID         string  `json:"id,omitempty"`
@@ -76,33 +90,33 @@
 const (
 	journalFileName = "journal"
 	maxRecordBytes  = 1 << 20
-	// acceptShare is the part of a file that entries may fill before new messages are turned away: the rest is
-	// room for what becomes of those already taken on.
+	// acceptShare is the fraction of a file that entries may fill before new messages are rejected. The rest is for the
+	// records that follow on messages already accepted.
 	acceptShare = 0.6
-	// maxJournalFileBytes bounds a file where the platform sets no tighter limit; files count as memory.
+	// maxJournalFileBytes bounds a file where the platform sets no tighter limit; files may count as memory.
 	maxJournalFileBytes = 16 << 20
 )
 
-// errJournalFull says that the journal has no room for another message.
+// errJournalFull means that records do not fit in the journal, even after a rewrite.
 var errJournalFull = errors.New("journal full")
 
-// Journal keeps accepted messages in a file that outlives the process. Its
-// records are appended; a file that grows too long is rewritten with what is
-// still owed. It is not safe for concurrent use.
+// Journal keeps accepted messages in a file that outlives the process. Records are appended; a file that reaches its
+// limit is rewritten with the entries that are left. It is not safe for concurrent use.
 type Journal struct {
 	dir            string
 	file           *os.File
 	size           int64
-	limit          int64 // of one file; for the time of a rewrite there are two
-	truncatedBytes int64 // bytes that were not whole records when it was opened
-	liveBytes      int64 // rough size of what a rewrite keeps
+	limit          int64 // of one file, in bytes; during a rewrite there are two files
+	truncatedBytes int64 // bytes after the last whole record that were cut off when it was opened
+	liveBytes      int64 // estimated size of what a rewrite keeps
 	lastSequence   int
 	entries        map[string]*Entry
 	disabled       map[string]bool // endpoints that an operator has taken out
-	needsRewrite   bool            // the file lacks something that entries has: rewrite before the next append
+	needsRewrite   bool            // entries has changes that the file lacks: rewrite before the next append
 }
 
-// journalFileLimit bounds the journal's file where the platform gives so many bytes of disk.
+// journalFileLimit returns the limit of the journal's file for a disk limit; diskBytes is 0 where there is none. Two
+// files have to fit on the disk during a rewrite.
 func journalFileLimit(diskBytes int64) int64 {
 	if diskBytes <= 0 {
 		return maxJournalFileBytes
@@ -110,8 +124,8 @@
 	return min(diskBytes*45/100, maxJournalFileBytes)
 }
 
-// OpenJournal replays the journal in dir, cuts a torn end off and makes it ready
-// for appending. Together its files stay under diskBytes.
+// OpenJournal replays the journal in dir, cuts off a torn end and opens it for appending. Together its files stay under
+// diskBytes.
 func OpenJournal(dir string, diskBytes int64) (*Journal, error) {
 	j := &Journal{dir: dir, entries: map[string]*Entry{}, disabled: map[string]bool{}, limit: journalFileLimit(diskBytes)}
 	if err := os.Remove(j.path(".new")); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -131,14 +145,14 @@
 
 func (j *Journal) path(suffix string) string { return filepath.Join(j.dir, journalFileName+suffix) }
 
-// replay reads records up to the first that is not whole and cuts off the rest.
+// replay applies the records up to the first one that is not whole and truncates the file behind them.
 func (j *Journal) replay(f *os.File) error {
 	r := wal.NewReader(f, maxRecordBytes)
 	for {
 		body, err := r.Next()
 		if err != nil {
 			if !errors.Is(err, io.EOF) && !errors.Is(err, wal.ErrTorn) {
-				return err // what could not be read may well be whole: it must not be cut off
+				return err // a read error: the records behind it may be whole and must not be cut off
 			}
 			break
 		}
@@ -161,7 +175,7 @@
 	return err
 }
 
-// apply brings the entries up to date with a record.
+// apply applies a record to the entries.
 func (j *Journal) apply(rec record) {
 	switch rec.Op {
 	case opDisableEndpoint:
@@ -212,15 +226,15 @@
 	}
 }
 
-// HasRoom says whether the journal can take on a message with such a body.
+// HasRoom reports whether the journal has room for a message with a body of that many bytes.
 func (j *Journal) HasRoom(body int) bool {
 	return float64(j.liveBytes)+float64(body)*4/3+512 <= acceptShare*float64(j.limit)
 }
 
-// Append writes records in one go, so that a process that dies leaves all of the
-// earlier ones before any later one. On an error none of them is in the file:
-// the caller must not act on a message taken on, a send or an operator's word. What only records the
-// past counts all the same, and gets into the file with the next rewrite.
+// Append writes records with a single write, so that a process that dies leaves no record in the file without all those
+// before it. On an error none of them is in the file, and the caller must not go on with what opAccept, opConnect,
+// opSend or an operator's command announces. Records of what has already happened are applied to the entries all the
+// same, and get into the file with the next rewrite.
 func (j *Journal) Append(recs []record) error {
 	if len(recs) == 0 {
 		return nil
@@ -260,7 +274,7 @@
 	}
 	if n, err := j.file.WriteAt(b, j.size); err != nil {
 		if n > 0 {
-			// What was written in part must not stand before later records: they would be cut off with it.
+			// A partial write must not precede later records: a replay would cut them off with it.
 			err = errors.Join(err, j.file.Truncate(j.size))
 		}
 		return err
@@ -275,13 +289,13 @@
 		return b, err
 	}
 	if len(body) > maxRecordBytes {
-		return b, fmt.Errorf("record of %d bytes", len(body))
+		return b, fmt.Errorf("record of %d bytes exceeds the limit", len(body))
 	}
 	return wal.Append(b, body), nil
 }
 
-// Compact rewrites the journal with what is still owed. The old file stands until
-// the new one is whole.
+// Compact rewrites the journal with the entries that are left. The new file replaces the old one by a rename once it is
+// complete.
 func (j *Journal) Compact() error {
 	var b []byte
 	for _, id := range j.DisabledEndpoints() {
@@ -316,7 +330,7 @@
 	return nil
 }
 
-// Entries lists what is owed, in the order in which it was taken on.
+// Entries returns the entries in the order in which their messages were accepted.
 func (j *Journal) Entries() []*Entry {
 	list := make([]*Entry, 0, len(j.entries))
 	for _, e := range j.entries {
@@ -326,10 +340,10 @@
 	return list
 }
 
-// DisabledEndpoints lists the endpoints that operators have taken out.
+// DisabledEndpoints returns the names of the endpoints that operators have taken out, sorted.
 func (j *Journal) DisabledEndpoints() []string { return slices.Sorted(maps.Keys(j.disabled)) }
 
-// Entry returns what is known of a message; nil if nothing is owed for it.
+// Entry returns the entry of a message; nil if the journal has none.
 func (j *Journal) Entry(id string) *Entry { return j.entries[id] }
 
 // Close closes the file.
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// The journal is what decides after a crash whether a message is sent again.
+// After a crash the replayed journal decides whether a message is sent again, so its entries must be right, also after
+// a rewrite.
 func TestJournalReplay(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
@@ -53,7 +54,7 @@
 			ids = append(ids, e.ID)
 		}
 		if got := fmt.Sprint(ids); got != "[sent never may ended]" {
-			t.Fatalf("%s: owed %v", how, got)
+			t.Fatalf("%s: entries %v", how, got)
 		}
 		if e := j.Entry("sent"); e.Attempts != 1 || !e.MaybeWritten || e.MayHaveRun || e.FirstMayHaveRunAt != 100 || e.FirstZone != 1 || string(e.Body) != "bbb" {
 			t.Errorf("%s: sent: %+v", how, e)
@@ -76,8 +77,8 @@
 	check("compacted")
 }
 
-// A process can die within a write: whatever its last bytes are, all that was whole before them stands, and what
-// is appended afterwards can be read.
+// A process can die during a write. Whatever the last bytes of the file are, all complete records before them are kept,
+// and records that are appended later can be read.
 func TestJournalDropsTornTail(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
@@ -106,24 +107,24 @@
 			t.Fatalf("tail %d: a %v, b %v", i, j.Entry("a"), j.Entry("b"))
 		}
 		if j.truncatedBytes != int64(len(text))-first {
-			t.Errorf("tail %d of %d bytes: says that %d were cut", i, int64(len(text))-first, j.truncatedBytes)
+			t.Errorf("tail %d of %d bytes: truncatedBytes is %d", i, int64(len(text))-first, j.truncatedBytes)
 		}
 		mustAppend(t, j, acceptRecord("c", 10))
 		if j := openJournal(t, dir, 3e6); j.Entry("a") == nil || j.Entry("c") == nil {
-			t.Fatalf("tail %d: what came after it is lost", i)
+			t.Fatalf("tail %d: a record appended later is lost", i)
 		}
 	}
 }
 
-// Whole records behind a broken one are not trusted: they must not come to life again once something of the same
-// length is written in its place.
+// Records behind a corrupt one are cut off. Otherwise they would be read again once a record of the same length
+// replaces the corrupt one.
 func TestJournalCutsBehindBrokenRecord(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
 	mustAppend(t, j, acceptRecord("a", 10))
-	at := j.size + wal.HeaderLen
+	offset := j.size + wal.HeaderLen
 	mustAppend(t, j, acceptRecord("b", 10), acceptRecord("c", 10))
-	if _, err := j.file.WriteAt([]byte{0}, at); err != nil {
+	if _, err := j.file.WriteAt([]byte{0}, offset); err != nil {
 		t.Fatal(err)
 	}
 	mustAppend(t, openJournal(t, dir, 3e6), acceptRecord("d", 10))
@@ -132,7 +133,7 @@
 	}
 }
 
-// diskUse counts as the platform does.
+// diskUse returns the disk usage of a folder in bytes as the platform counts it, in blocks of 512 bytes.
 func diskUse(t *testing.T, dir string) int64 {
 	t.Helper()
 	list, err := os.ReadDir(dir)
@@ -148,8 +149,8 @@
 	return sum
 }
 
-// A folder that grows over its limit counts as a crash. What is over must make room, and while nothing is over new
-// messages are turned away, with room left for what becomes of the old ones.
+// A folder over its disk limit counts as a crash. Ended messages must make room. While no message ends, new messages
+// are rejected, with room left for the records of those already accepted.
 func TestJournalStaysWithinDiskLimit(t *testing.T) {
 	dir := t.TempDir()
 	const disk = 100_000
@@ -158,7 +159,7 @@
 		id := fmt.Sprint("m", i)
 		mustAppend(t, j, acceptRecord(id, 1000), record{Op: opSend, ID: id, SentAt: 1}, record{Op: opDone, ID: id})
 		if use := diskUse(t, dir); use > disk/2 {
-			t.Fatalf("%d bytes with nothing owed", use)
+			t.Fatalf("%d bytes with no entries", use)
 		}
 	}
 	n := 0
@@ -171,28 +172,29 @@
 	for i := range 2000 {
 		mustAppend(t, j, record{Op: opSend, ID: "f0", SentAt: int64(i)}, record{Op: opOutcome, ID: "f0"})
 		if use := diskUse(t, dir); use > disk/2 {
-			t.Fatalf("%d bytes with %d owed", use, n)
+			t.Fatalf("%d bytes with %d entries", use, n)
 		}
 	}
 	if e := openJournal(t, dir, disk).Entry("f0"); e == nil || e.Attempts != 2000 {
 		t.Errorf("after many rewrites: %+v", e)
 	}
 	if err := j.Append([]record{acceptRecord("big", 40_000)}); !errors.Is(err, errJournalFull) {
-		t.Errorf("got %v, want errFull", err)
+		t.Errorf("got %v, want errJournalFull", err)
 	}
 }
 
-// A write that fails must leave no half record, take nothing on, and forget nothing that has happened.
+// A failed write leaves no partial record and accepts no message or send. Records of what has already happened are kept
+// and written with the next rewrite.
 func TestFailedJournalWriteChangesNothing(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
 	mustAppend(t, j, acceptRecord("a", 10), acceptRecord("b", 10))
-	good := j.file
-	bad, err := os.Open(good.Name()) // can't be written
+	original := j.file
+	readOnly, err := os.Open(original.Name()) // opened read-only, so writes fail
 	if err != nil {
 		t.Fatal(err)
 	}
-	j.file = bad
+	j.file = readOnly
 	err = j.Append([]record{{Op: opDone, ID: "a"}, acceptRecord("c", 10), {Op: opSend, ID: "b", SentAt: 1}})
 	if err == nil {
 		t.Fatal("no error")
@@ -201,21 +203,21 @@
 		t.Errorf("after the error: a %v, b %+v, c %v", j.Entry("a"), j.Entry("b"), j.Entry("c"))
 	}
 	mustAppend(t, j, acceptRecord("d", 10)) // into a new file
-	good.Close()
-	k := openJournal(t, dir, 3e6)
-	if k.Entry("a") != nil || k.Entry("b") == nil || k.Entry("c") != nil || k.Entry("d") == nil {
-		t.Errorf("after the rewrite: %v", k.entries)
+	original.Close()
+	reopened := openJournal(t, dir, 3e6)
+	if reopened.Entry("a") != nil || reopened.Entry("b") == nil || reopened.Entry("c") != nil || reopened.Entry("d") == nil {
+		t.Errorf("after the rewrite: %v", reopened.entries)
 	}
 }
 
-// What operators have taken out stands after a rewrite and at the next start; what they put back does not.
+// Endpoints that operators have taken out stay out after a rewrite and a restart; those they have put back do not.
 func TestJournalKeepsDisabledEndpoints(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
 	mustAppend(t, j, record{Op: opDisableEndpoint, ID: "s-1"}, record{Op: opDisableEndpoint, ID: "s-2"}, record{Op: opEnableEndpoint, ID: "s-1"})
 	for _, how := range []string{"appended", "rewritten"} {
 		if got := fmt.Sprint(openJournal(t, dir, 3e6).DisabledEndpoints()); got != "[s-2]" {
-			t.Errorf("%s: taken out %v", how, got)
+			t.Errorf("%s: disabled endpoints %v", how, got)
 		}
 		if err := j.Compact(); err != nil {
 			t.Fatal(err)
@@ -223,8 +225,8 @@
 	}
 }
 
-// A folder outlives the program: a journal of earlier versions is read, and what is appended and rewritten has the
-// form they read, to the byte.
+// The state folder outlives the program: journals of earlier versions can be read, and appended and rewritten records
+// have the same format, byte for byte.
 func TestJournalFileFormat(t *testing.T) {
 	const appended = "N\x00\x00\x00|\xd1pr{\"op\":1,\"entry\":{\"id\":\"a\",\"class\":\"safe\",\"dest\":1,\"deadline\":1,\"body\":\"YmJi\"}}" +
 		"'\x00\x00\x00\xd6\xccS\x14{\"op\":2,\"id\":\"a\",\"at\":1234567,\"zone\":1}" +
@@ -238,7 +240,7 @@
 		"o\x00\x00\x00\xa6\xc9X\xc1{\"op\":1,\"entry\":{\"id\":\"b\",\"class\":\"safe\",\"dest\":1,\"deadline\":1," +
 		"\"end\":{\"id\":\"b\",\"state\":\"failed\",\"after_ms\":5}}}"
 	dir := t.TempDir()
-	is := func(want string) {
+	checkFile := func(want string) {
 		t.Helper()
 		if got, err := os.ReadFile(filepath.Join(dir, journalFileName)); err != nil || string(got) != want {
 			t.Fatalf("%v, file:\n%q\nwant:\n%q", err, got, want)
@@ -248,25 +250,25 @@
 	mustAppend(t, j, acceptRecord("a", 3), record{Op: opSend, ID: "a", SentAt: 1234567, Zone: 1}, record{Op: opDisableEndpoint, ID: "s-1"}, acceptRecord("b", 2))
 	mustAppend(t, j, record{Op: opOutcome, ID: "a", MayHaveRun: true},
 		record{Op: opEndWithNotice, ID: "b", Notice: &Notice{ID: "b", State: "failed", AfterMS: 5}})
-	is(appended)
+	checkFile(appended)
 
 	dir = t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, journalFileName), []byte(appended+"\x13\x00"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	j = openJournal(t, dir, 3e6)
-	is(appended)
+	checkFile(appended)
 	if a, b := j.Entry("a"), j.Entry("b"); a == nil || b == nil || !a.MayHaveRun || a.FirstMayHaveRunAt != 1234567 || a.FirstZone != 1 ||
 		string(a.Body) != "bbb" || b.EndNotice == nil || b.EndNotice.AfterMS != 5 || fmt.Sprint(j.DisabledEndpoints()) != "[s-1]" || j.truncatedBytes != 2 {
-		t.Errorf("a %+v, b %+v, taken out %v, %d bytes cut", a, b, j.DisabledEndpoints(), j.truncatedBytes)
+		t.Errorf("a %+v, b %+v, disabled endpoints %v, %d bytes truncated", a, b, j.DisabledEndpoints(), j.truncatedBytes)
 	}
 	if err := j.Compact(); err != nil {
 		t.Fatal(err)
 	}
-	is(rewritten)
+	checkFile(rewritten)
 }
 
-// A file that can't be read is not one that ends early: nothing is cut off.
+// A read error is not the end of the journal: nothing is truncated.
 func TestUnreadableJournalIsNotTruncated(t *testing.T) {
 	dir := t.TempDir()
 	mustAppend(t, openJournal(t, dir, 3e6), acceptRecord("a", 10))
@@ -284,6 +286,6 @@
 		t.Error("no error")
 	}
 	if after, err := os.ReadFile(path); err != nil || !bytes.Equal(after, before) {
-		t.Errorf("%v, %d bytes of %d left", err, len(after), len(before))
+		t.Errorf("%v, %d bytes left, want %d", err, len(after), len(before))
 	}
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -1,6 +1,6 @@
 package node
 
-// The loop owns the module and all of the state.
+// The loop: the one goroutine that owns the decision logic and the sender's state.
 
 import (
 	"context"
@@ -11,26 +11,27 @@
 )
 
 const (
-	shutdownAcceptTime  = 500 * time.Millisecond  // after SIGTERM, clients are served on for so long
-	shutdownSendTimeout = 3200 * time.Millisecond // what is sent after SIGTERM must end by then
-	shutdownLoopTimeout = 3400 * time.Millisecond // the loop ends
-	// shutdownClientTimeout is when the process ends at the latest, also with clients that are owed an answer: SIGKILL may come 0.1 s later.
+	shutdownAcceptTime  = 500 * time.Millisecond  // after SIGTERM, clients are still accepted for this long
+	shutdownSendTimeout = 3200 * time.Millisecond // attempts made after SIGTERM must end within this time of it
+	shutdownLoopTimeout = 3400 * time.Millisecond // after SIGTERM, the loop ends at the latest
+	// shutdownClientTimeout is when the process ends at the latest after SIGTERM, even with clients that still wait for
+	// an answer: SIGKILL may come 0.1 s later.
 	shutdownClientTimeout = 3600 * time.Millisecond
 	sweepInterval         = time.Second
-	sweepsPerCountLog     = 5                      // sweeps between two lines on how calls went
-	retryDelay            = 250 * time.Millisecond // of an attempt that could not be written to the journal
+	sweepsPerCountLog     = 5                      // sweeps between two "calls" log lines
+	retryDelay            = 250 * time.Millisecond // after an attempt that was denied or could not be journaled
 	eventBufferSize       = 4096
-	maxMatchedRows        = 20000 // rows of a saved list that are read during a handover
+	maxMatchedRows        = 20000 // rows of a saved list that are read during a handover at most
 )
 
-// replyEvent is the one outcome of an attempt.
+// replyEvent carries the one result of an attempt.
 type replyEvent struct {
 	call     *call
 	result   callResult
 	duration time.Duration
 }
 
-// probeEvent is the one outcome of a probe.
+// probeEvent carries the one outcome of a probe.
 type probeEvent struct {
 	endpoint logic.EndpointID
 	outcome  logic.Outcome
@@ -39,8 +40,8 @@
 // closingEvent starts the shutdown.
 type closingEvent struct{ timeLeft time.Duration }
 
-// loop owns the module and all of the state: it takes what has come, lets the
-// module step, writes the journal and acts, at most once a tick.
+// loop collects what has arrived, runs a step of the decision logic on it, writes the journal and executes the actions,
+// at most once per tick. It returns errHandedOver once a successor has taken the state.
 func (n *Node) loop(work context.Context, served, stopped <-chan struct{}) error {
 	tick := max(toDuration(n.cfg.Deployment.Settings.Tick), time.Millisecond)
 	sweep := time.NewTicker(sweepInterval)
@@ -48,27 +49,27 @@
 	pause := time.NewTimer(0)
 	defer pause.Stop()
 	sweeps := 0
-	quiet := false // shutting down, and no client is left
+	noClients := false // shutting down, and all clients are gone
 	for {
-		if quiet && n.openMessages == 0 && len(n.journal.entries) == 0 {
+		if noClients && n.openMessages == 0 && len(n.journal.entries) == 0 {
 			n.logFinalCounts()
 			return nil
 		}
 		select {
-		case o := <-n.commands:
-			n.applyCommand(o)
-		case x := <-n.successors:
-			if n.handOver(work, x, stopped) {
+		case command := <-n.commands:
+			n.applyCommand(command)
+		case next := <-n.successors:
+			if n.handOver(work, next, stopped) {
 				return errHandedOver
 			}
 			continue
 		case ev := <-n.events:
 			n.handleEvent(ev)
-		case x := <-n.writeRequests:
-			n.handleWriteRequest(x)
+		case req := <-n.writeRequests:
+			n.handleWriteRequest(req)
 			continue
 		case <-n.discoveryMoves:
-			if !n.watching { // a watch that is out goes to the new address by itself
+			if !n.watching { // a watch in progress moves to the new address by itself
 				n.nextEvents = append(n.nextEvents, logic.DiscoveryMoved{})
 			}
 		case <-sweep.C:
@@ -79,17 +80,17 @@
 			}
 			continue
 		case <-served:
-			quiet, served = true, nil
+			noClients, served = true, nil
 			continue
 		case <-stopped:
-			// What is still out stays in the journal as it is.
+			// Messages that have not ended stay in the journal as they are.
 			n.logFinalCounts()
 			return nil
 		}
 		for more := true; more; {
 			select {
-			case o := <-n.commands:
-				n.applyCommand(o)
+			case command := <-n.commands:
+				n.applyCommand(command)
 			case ev := <-n.events:
 				n.handleEvent(ev)
 			default:
@@ -105,14 +106,14 @@
 			select {
 			case <-pause.C:
 				over = true
-			case x := <-n.writeRequests:
-				n.handleWriteRequest(x)
+			case req := <-n.writeRequests:
+				n.handleWriteRequest(req)
 			}
 		}
 	}
 }
 
-// logCounts writes a line on how calls went and what is held, unless nothing happened.
+// logCounts logs the counters of calls and what is held, unless no call was made since the last line.
 func (n *Node) logCounts() {
 	if counts := n.transport.takeCounts(); len(counts) > 0 {
 		counts = append(counts, "idle", n.transport.idleCount(), "open", n.openMessages, "owed", len(n.journal.entries))
@@ -121,13 +122,13 @@
 	}
 }
 
-// logFinalCounts writes what became of calls and clients since the last tally.
+// logFinalCounts logs the counters of clients and calls since the last line.
 func (n *Node) logFinalCounts() {
 	n.log.Info("clients at the end", n.clients.takeCounts()...)
 	n.logCounts()
 }
 
-// handleEvent turns what has come into events for the next step.
+// handleEvent turns an event of the sender into events for the next step.
 func (n *Node) handleEvent(ev any) {
 	switch ev := ev.(type) {
 	case putEvent:
@@ -154,7 +155,8 @@
 	}
 }
 
-// forgetExpired drops ids that nobody can hand in any more, and endpoints that are gone.
+// forgetExpired drops the ids of ended messages whose deadline has passed, and removed endpoints that have expired. It
+// keeps endpoints that an operator has taken out or that a call is in flight to.
 func (n *Node) forgetExpired() {
 	now := time.Now()
 	n.directory.RemoveExpired(now, func(name string, id logic.EndpointID) bool {
@@ -168,14 +170,14 @@
 		}
 		return false
 	})
-	for id, t := range n.recentIDs {
-		if now.After(t) {
+	for id, deadline := range n.recentIDs {
+		if now.After(deadline) {
 			delete(n.recentIDs, id)
 		}
 	}
 }
 
-// step lets the module decide, writes the journal and then acts, in order.
+// step runs one step of the decision logic on the collected events and executes its actions.
 func (n *Node) step(work context.Context) {
 	events := n.nextEvents
 	n.nextEvents = nil
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -1,6 +1,6 @@
 package node
 
-// The endpoint list: what the sender begins with, and what news of it changes.
+// The endpoint list: the list that the sender starts with, and the handling of updates.
 
 import (
 	"context"
@@ -12,22 +12,22 @@
 	"crossdeal/logic"
 )
 
-// loadInitialList fills the directory with the saved list or that of the configuration, whichever is newer, and says whether
-// there is one. Its generation is below 0 if changes to it can't be asked for: there is none, or it came from another
-// address, whose generations are others.
+// loadInitialList fills the directory with the saved list or the configured one, whichever is newer, and reports
+// whether there is one. The generation is negative if changes since it cannot be requested: there is no list, or it
+// came from another discovery address, whose generations are unrelated.
 func (n *Node) loadInitialList() (generation int64, listed bool) {
-	now, known := time.Now(), n.cfg.KnownList
-	given := known.Generation != 0 || len(known.Instances) > 0
+	now, list := time.Now(), n.cfg.KnownList
+	configured := list.Generation != 0 || len(list.Instances) > 0
 	saved, err := n.listStore.Peek()
-	same := saved.Origin == n.cfg.DiscoveryAddr
-	if err == nil && (same && saved.Generation > known.Generation || !given) {
+	sameOrigin := saved.Origin == n.cfg.DiscoveryAddr
+	if err == nil && (sameOrigin && saved.Generation > list.Generation || !configured) {
 		if saved, err = n.listStore.Load(func(rows []discovery.Instance) error {
-			u := n.directory.Diff(discovery.List{Instances: rows})
-			n.directory.Apply(&u, now)
+			update := n.directory.Diff(discovery.List{Instances: rows})
+			n.directory.Apply(&update, now)
 			return nil
 		}); err == nil {
 			n.log.Info("begins with the saved list", "generation", saved.Generation, "from", saved.Origin, "entries", n.directory.Len())
-			if !same {
+			if !sameOrigin {
 				return -1, true
 			}
 			n.listGeneration = saved.Generation
@@ -37,18 +37,19 @@
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		n.log.Warn("the saved list is not used", "err", err)
 	}
-	known.Reset = true // what a saved list has told that broke off is dropped
-	u := n.directory.Diff(known)
-	n.directory.Apply(&u, now)
-	if !given {
+	list.Reset = true // rows of a saved list that failed to load are dropped
+	update := n.directory.Diff(list)
+	n.directory.Apply(&update, now)
+	if !configured {
 		return -1, false
 	}
-	n.listGeneration = known.Generation
-	return known.Generation, true
+	n.listGeneration = list.Generation
+	return list.Generation, true
 }
 
-// matchSavedList takes from the saved list what a handover does not tell, if it is the list that was handed over: else the
-// next whole list tells it, and nothing is saved until then. A long list would keep clients waiting.
+// matchSavedList takes the endpoint states that an owner of an earlier version does not hand over from the saved list,
+// if that has the generation that was handed over. Otherwise the next whole list has them, and nothing is saved until
+// then. Lists of more than maxMatchedRows rows are not read, since clients wait meanwhile.
 func (n *Node) matchSavedList(origin string, generation int64) {
 	saved, err := n.listStore.Peek()
 	if n.directory.AllStatesKnown() || err != nil || "http://"+saved.Origin != origin || saved.Generation != generation || saved.RowCount > maxMatchedRows {
@@ -56,8 +57,8 @@
 	}
 	now := time.Now()
 	if _, err := n.listStore.Load(func(rows []discovery.Instance) error {
-		u := n.directory.Diff(discovery.List{Instances: rows})
-		n.directory.Apply(&u, now) // the module knows it
+		update := n.directory.Diff(discovery.List{Instances: rows})
+		n.directory.Apply(&update, now) // the decision logic has these rows already
 		return nil
 	}); err != nil {
 		n.log.Warn("the saved list is not used", "err", err)
@@ -70,7 +71,7 @@
 	if ev.Err != nil {
 		n.watching = false
 		n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListRequestFailed, Unresponsive: ev.Unresponsive})
-		if n.watcher.AddressChanged() { // meanwhile, so the failure was not the new address's
+		if n.watcher.AddressChanged() { // during the request: it was the old address that failed
 			n.nextEvents = append(n.nextEvents, logic.DiscoveryMoved{})
 		}
 		return
@@ -86,22 +87,23 @@
 		n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListAnswerUnusable})
 		return
 	}
-	u := &ev.Update
-	n.listGeneration = u.Generation
-	rows := n.directory.Apply(u, time.Now())
+	update := &ev.Update
+	n.listGeneration = update.Generation
+	rows := n.directory.Apply(update, time.Now())
 	if ev.Done != nil {
 		ev.Done()
 	}
-	if u.UnusableRows > 0 || u.DuplicateRows > 0 {
-		n.log.Warn("list", "generation", u.Generation, "entries that make no sense", u.UnusableRows, "duplicates", u.DuplicateRows)
+	if update.UnusableRows > 0 || update.DuplicateRows > 0 {
+		n.log.Warn("list", "generation", update.Generation, "unusable entries", update.UnusableRows, "duplicates", update.DuplicateRows)
 	}
-	if u.OmittedEndpoints > 0 && len(u.Rows) > 0 {
-		n.log.Warn("list, too many endpoints of one destination", "generation", u.Generation, "left aside", u.OmittedEndpoints)
+	if update.OmittedEndpoints > 0 && len(update.Rows) > 0 {
+		n.log.Warn("list has too many endpoints of one destination", "generation", update.Generation, "omitted", update.OmittedEndpoints)
 	}
-	if len(rows) > 0 || u.Whole {
-		n.log.Info("list", "generation", u.Generation, "whole", u.Whole, "entries", len(rows), "listed", n.directory.Len())
+	if len(rows) > 0 || update.Whole {
+		n.log.Info("list", "generation", update.Generation, "whole", update.Whole, "entries", len(rows), "listed", n.directory.Len())
 	}
-	// A whole list comes as what it changes: the module is told the same, and that the list is fresh.
+	// A whole list is passed on as its differences, like an update, which also tells the decision logic that the list
+	// is current.
 	n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListDelta, Entries: rows})
 	if len(rows) == 0 {
 		return
@@ -115,13 +117,14 @@
 			continue
 		}
 		state, ok := changed[h.call.endpoint]
-		if to := n.target(h.call.endpoint); ok && (state != logic.Ready || h.call.addr != to.Address || h.call.destination != to.Destination) {
-			h.withholdCall() // else it would connect to where the endpoint was
+		if target := n.target(h.call.endpoint); ok && (state != logic.Ready || h.call.addr != target.Address ||
+			h.call.destination != target.Destination) {
+			h.withholdCall() // it would connect to the endpoint's old address or despite its new state
 		}
 	}
 }
 
-// watchList watches the list, unless a watch is on. It ends with the event of a call that failed.
+// watchList starts a watch of the list, unless one is running. A watch ends with the event of a failed request.
 func (n *Node) watchList(work context.Context) {
 	if !n.watching {
 		n.watching = true
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -1,6 +1,6 @@
 package node
 
-// Messages that the sender holds: how they come in, what their attempts come to, and how they end.
+// Messages that the sender holds: admission, the outcomes of their attempts, and their end.
 
 import (
 	"context"
@@ -13,17 +13,17 @@
 	"crossdeal/logic"
 )
 
-// heldMessage is a message that the module has and that is not over.
+// heldMessage is an accepted message that has not ended, or that has ended with an attempt still in flight.
 type heldMessage struct {
 	message    *Message
 	attempts   int
-	ended      bool                    // ended; an attempt is still out
-	cancelCall context.CancelCauseFunc // of the attempt that is out
-	call       *call                   // that attempt
-	parkedConn *endpointConn           // its connection, once it is parked for another process
+	ended      bool                    // the message has ended; an attempt is still in flight
+	cancelCall context.CancelCauseFunc // cancels the attempt in flight; nil if there is none
+	call       *call                   // the attempt in flight
+	parkedConn *endpointConn           // the attempt's connection, once it is parked for another process
 }
 
-// logicCall is the module's view of a message.
+// logicCall returns the message as the decision logic takes it.
 func (n *Node) logicCall(m *Message, now int64) logic.NewMessage {
 	c := logic.NewMessage{ID: m.ID, Key: m.OrderKey, TimeLeft: logic.Micros(m.Deadline - now), Destination: m.Destination, Tenant: -1, Class: n.cfg.ClassIndexes[m.Class]}
 	if t, ok := n.cfg.TenantIndexes[m.Tenant]; ok && m.Tenant != "" {
@@ -34,30 +34,30 @@
 
 func (n *Node) handlePut(ev putEvent) {
 	id := ev.message.ID
-	_, over := n.recentIDs[id]
-	if n.held[id] != nil || n.journal.Entry(id) != nil || over {
+	_, recentlyEnded := n.recentIDs[id]
+	if n.held[id] != nil || n.journal.Entry(id) != nil || recentlyEnded {
 		n.trace.duplicate(id)
 		if n.putInThisStep(id) {
-			n.newPuts = append(n.newPuts, ev) // it gets the answer of the first
+			n.newPuts = append(n.newPuts, ev) // it gets the same answer as the first
 			return
 		}
 		ev.answer <- answerOK
 		return
 	}
-	most := n.cfg.Deployment.Settings.MaxOpen
-	if most > 0 && n.openMessages >= most || !n.journal.HasRoom(len(ev.message.Body)) {
-		n.trace.rejected(id, n.openMessages, most)
+	maxOpen := n.cfg.Deployment.Settings.MaxOpen
+	if maxOpen > 0 && n.openMessages >= maxOpen || !n.journal.HasRoom(len(ev.message.Body)) {
+		n.trace.rejected(id, n.openMessages, maxOpen)
 		ev.answer <- busyAnswer(0)
 		return
 	}
-	m := ev.message
-	n.held[id] = &heldMessage{message: &m}
+	message := ev.message
+	n.held[id] = &heldMessage{message: &message}
 	n.openMessages++
 	n.newPuts = append(n.newPuts, ev)
-	n.nextEvents = append(n.nextEvents, n.logicCall(&m, n.clock.NowMicros()))
+	n.nextEvents = append(n.nextEvents, n.logicCall(&message, n.clock.NowMicros()))
 }
 
-// putInThisStep says whether the message came since the last step.
+// putInThisStep reports whether the message was received since the last step.
 func (n *Node) putInThisStep(id string) bool {
 	for _, p := range n.newPuts {
 		if p.message.ID == id {
@@ -67,11 +67,11 @@
 	return false
 }
 
-func busyAnswer(after logic.Micros) string {
-	if after <= 0 {
+func busyAnswer(retryIn logic.Micros) string {
+	if retryIn <= 0 {
 		return "-BUSY\r\n"
 	}
-	return fmt.Sprintf("-BUSY %d\r\n", (after+999)/1000)
+	return fmt.Sprintf("-BUSY %d\r\n", (retryIn+999)/1000)
 }
 
 func (n *Node) handleReply(ev replyEvent) {
@@ -92,11 +92,11 @@
 		n.guard.addWait(n.waitTargetOf(ev.call.endpoint, n.target(ev.call.endpoint)), r.retryAfter, time.Now())
 		n.withholdCallsForWait(ev.call.endpoint)
 	}
-	ended := h.ended
+	alreadyEnded := h.ended
 	done := r.outcome == logic.Completed || r.messageEnded
 	n.trace.outcome(ev)
 	switch {
-	case ended:
+	case alreadyEnded:
 	case done:
 		n.pendingRecords = append(n.pendingRecords, record{Op: opDone, ID: ev.call.id})
 		n.endMessage(ev.call.id, h)
@@ -106,44 +106,44 @@
 	if h.ended {
 		delete(n.held, ev.call.id)
 	}
-	n.nextEvents = append(n.nextEvents, logic.AttemptResult{ID: ev.call.id, MessageEnded: ended || done, Endpoint: ev.call.endpoint,
+	n.nextEvents = append(n.nextEvents, logic.AttemptResult{ID: ev.call.id, MessageEnded: alreadyEnded || done, Endpoint: ev.call.endpoint,
 		Attempt: ev.call.attempt, Outcome: r.outcome, Duration: toMicros(ev.duration), RetryAfter: toMicros(r.retryAfter),
 		Load: n.parseLoadReport(r.loadReport)})
 }
 
-// parseLoadReport reads the report of an answer, each field in the place that the settings give it; nil if there is none.
-// What cannot be read is left out.
+// parseLoadReport parses a load report and puts each field at the index that the settings give it; nil if there is
+// none. Fields that cannot be parsed are skipped.
 func (n *Node) parseLoadReport(report string) []float64 {
-	set := n.cfg.Deployment.Settings
+	settings := n.cfg.Deployment.Settings
 	var load []float64
 	for pair := range strings.SplitSeq(report, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		place := -1
+		index := -1
 		switch name {
 		case "x0":
-			place = set.LimitLeftIndex
+			index = settings.LimitLeftIndex
 		case "x1":
-			place = set.LimitIndex
+			index = settings.LimitIndex
 		}
-		x, err := strconv.ParseFloat(value, 64)
-		if place < 0 || err != nil || !(x >= 0 && x <= math.MaxFloat32) {
+		number, err := strconv.ParseFloat(value, 64)
+		if index < 0 || err != nil || !(number >= 0 && number <= math.MaxFloat32) {
 			continue
 		}
-		for len(load) <= place {
+		for len(load) <= index {
 			load = append(load, 0)
 		}
-		load[place] = x
+		load[index] = number
 	}
 	return load
 }
 
-// mayHaveRun says what an outcome leaves open.
+// mayHaveRun reports whether the endpoint may have processed an attempt with this outcome.
 func mayHaveRun(o logic.Outcome) bool {
 	return o != logic.Rejected && o != logic.ConnRefused && o != logic.NotSent
 }
 
-// endMessage takes a message off the books; its id is remembered until its time is up. A call of it that is out and not
-// written yet never is.
+// endMessage removes a message from the tables. Its id is remembered until its deadline, so that a duplicate is
+// recognised. A call of it that is still connecting is never written.
 func (n *Node) endMessage(id string, h *heldMessage) {
 	if h.ended {
 		n.guard.recordViolation(ruleEnd, "id", id)
@@ -159,26 +159,26 @@
 	h.withholdCall()
 }
 
-// immediateAnswers finds the messages that the module ends in the step in which they came:
-// their clients are told at once.
+// immediateAnswers returns the answers to messages that the decision logic ends in the step in which they were
+// received: their clients get the end as the answer, and no notice follows.
 func (n *Node) immediateAnswers(actions []logic.Action) map[string]string {
-	out := map[string]string{}
+	answers := map[string]string{}
 	if len(n.newPuts) == 0 {
-		return out
+		return answers
 	}
 	for _, a := range actions {
 		switch a := a.(type) {
 		case logic.Refuse:
 			if n.putInThisStep(a.ID) {
-				out[a.ID] = busyAnswer(a.RetryIn)
+				answers[a.ID] = busyAnswer(a.RetryIn)
 			}
 		case logic.Fail:
 			if n.putInThisStep(a.ID) {
-				out[a.ID] = answerFailed
+				answers[a.ID] = answerFailed
 			}
 		}
 	}
-	return out
+	return answers
 }
 
 func noticeOf(a logic.Action) Notice {
@@ -191,7 +191,7 @@
 	return Notice{}
 }
 
-// dropUnaccepted forgets a message that was never taken on.
+// dropUnaccepted forgets a message that was not accepted.
 func (n *Node) dropUnaccepted(id string) {
 	if h := n.held[id]; h != nil && !h.ended {
 		n.openMessages--
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,7 @@
 package node
 
+// The sender: its parts, its start from the journal or by a takeover, and its shutdown.
+
 import (
 	"context"
 	"errors"
@@ -16,14 +18,15 @@
 	"crossdeal/logic"
 )
 
-// writeRequest is asked for before a call is written on a new connection: the journal has to know first, for whoever reads it
-// next must take a call that only connected for one that never ran, and one that was written for one that may have.
+// writeRequest asks the loop for permission to write a call on a new connection. The journal must have the send first:
+// the next process that reads it must see a call that only connected as one that never ran, and a call that was written
+// as one that may have run.
 type writeRequest struct {
 	call   *call
 	answer chan<- bool
 }
 
-// listWatcher watches the list and sends a discovery.Event for what it learns.
+// listWatcher watches the endpoint list and sends a discovery.Event for each update and failure.
 type listWatcher interface {
 	SetInitialState(generation int64, restart bool)
 	Watch(ctx context.Context)
@@ -51,45 +54,46 @@
 	events           chan any
 	commands         chan operatorCommand
 	successors       chan successor
-	noHandoverBefore time.Time         // no state transfer before: one has failed
-	discoveryMoves   chan struct{}     // holds one token when discovery has moved
-	writeRequests    chan writeRequest // calls that have connected and would be written
-	maxDescriptors   int               // descriptors that this process and another version of it may hold together
+	noHandoverBefore time.Time         // a state transfer has failed; the next one not before this time
+	discoveryMoves   chan struct{}     // holds a token when the address of discovery has changed
+	writeRequests    chan writeRequest // calls that have connected and ask to be written
+	maxDescriptors   int               // descriptors that this process and its successor may hold together
 	lockFile         *os.File
-	restarted        bool // the folder has been in use before: this is a restart
+	restarted        bool // the state folder has been in use before: this is a restart
 	listener         net.Listener
 	ready            chan net.Addr // gets the address once clients are served
 
-	// What follows belongs to the loop.
+	// Used by the loop only.
 	startedAt      time.Time
 	held           map[string]*heldMessage
-	openMessages   int                  // of held, those not over
-	recentIDs      map[string]time.Time // ids that were taken on and are over, until their time is up
+	openMessages   int                  // those of held that have not ended
+	recentIDs      map[string]time.Time // ids of accepted messages that have ended, each until its deadline
 	nextEvents     []logic.Event        // for the next step
 	watching       bool
-	listGeneration int64 // of the list that the module has
+	listGeneration int64 // of the list that the decision logic has
 	closing        bool
 	newPuts        []putEvent
 	pendingRecords []record
 }
 
-// New makes a sender and replays its journal, unless another process owns it: then Run takes over from that one.
+// New makes a sender and replays its journal. If another process owns the state, it does not, and Run takes over from
+// that process.
 func New(cfg *Config, log *slog.Logger) (*Node, error) {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	for _, doubt := range cfg.Warnings {
-		log.Warn("configuration", "err", doubt)
+	for _, warning := range cfg.Warnings {
+		log.Warn("configuration", "err", warning)
 	}
 	setMembershipMode(&cfg.Deployment.Settings)
 	n := newNode(cfg, log)
 	n.shareDescriptors()
-	set := &cfg.Deployment.Settings
+	settings := &cfg.Deployment.Settings
 	var err error
-	if n.sender, err = logic.New(*set, cfg.Seed); err != nil {
+	if n.sender, err = logic.New(*settings, cfg.Seed); err != nil {
 		return nil, err
 	}
-	n.transport = newTransport(toDuration(cfg.Deployment.ConnectTimeout), toDuration(set.ConnIdle), set.Slots, n.maxDescriptors/4)
+	n.transport = newTransport(toDuration(cfg.Deployment.ConnectTimeout), toDuration(settings.ConnIdle), settings.Slots, n.maxDescriptors/4)
 	n.transport.clients = n.clients
 	n.listStore = discovery.OpenStore(cfg.StateDir, cfg.Limits.listStoreBytes(), log)
 	n.watcher = n.newDiscoveryClient()
@@ -101,15 +105,15 @@
 	return n, nil
 }
 
-// setMembershipMode sets what follows for the module from where the list comes from.
-func setMembershipMode(set *logic.Settings) {
-	set.ListPushed = !set.ListOnRequest
-	if set.ListOnRequest && set.Senders >= discovery.SpreadMinSenders { // with pauses between its calls for the list
-		set.MaxListAge = toMicros(discovery.MaxListAge) + set.DrainGrace
+// setMembershipMode sets the list settings of the decision logic that depend on how the list arrives.
+func setMembershipMode(settings *logic.Settings) {
+	settings.ListPushed = !settings.ListOnRequest
+	if settings.ListOnRequest && settings.Senders >= discovery.SpreadMinSenders { // with spread list requests
+		settings.MaxListAge = toMicros(discovery.MaxListAge) + settings.DrainGrace
 	}
 }
 
-// newNode makes a sender with its channels and tables, and what stands between it and clients and operators.
+// newNode makes a sender with its channels and tables, its client server and its admin server.
 func newNode(cfg *Config, log *slog.Logger) *Node {
 	n := &Node{cfg: cfg, log: log, startedAt: time.Now(),
 		directory:      discovery.NewDirectory(cfg.Deployment.Zones, cfg.Deployment.Settings.Kinds),
@@ -133,50 +137,51 @@
 	return n
 }
 
-// shareDescriptors shares the descriptors out between clients, operators and calls, which may bound the slots.
+// shareDescriptors divides the descriptors between clients, operators and calls. This may lower the number of slots.
 func (n *Node) shareDescriptors() {
 	operators := 0
 	if n.admin != nil {
 		operators = n.admin.maxConns
 	}
-	set := &n.cfg.Deployment.Settings
+	settings := &n.cfg.Deployment.Settings
 	calls := n.clients.shareDescriptors(n.maxDescriptors, operators)
-	if set.Slots > calls {
+	if settings.Slots > calls {
 		n.log.Warn("configuration", "err",
-			fmt.Sprintf("%d slots do not go with %d descriptors, taken for %d", set.Slots, n.maxDescriptors, calls))
-		set.Slots = calls
+			fmt.Sprintf("%d slots exceed what %d descriptors allow; using %d", settings.Slots, n.maxDescriptors, calls))
+		settings.Slots = calls
 	}
 }
 
-// logSettings writes what decides most of what the sender does.
+// logSettings logs the settings that matter most for what the sender does.
 func (n *Node) logSettings() {
-	set := &n.cfg.Deployment.Settings
-	n.log.Info("settings", "on_request", set.ListOnRequest, "senders", set.Senders, "drain_grace", toDuration(set.DrainGrace).String(),
-		"slots", set.Slots, "max_open", set.MaxOpen, "known", len(n.cfg.KnownList.Instances), "generation", n.cfg.KnownList.Generation)
+	settings := &n.cfg.Deployment.Settings
+	n.log.Info("settings", "on_request", settings.ListOnRequest, "senders", settings.Senders,
+		"drain_grace", toDuration(settings.DrainGrace).String(), "slots", settings.Slots, "max_open", settings.MaxOpen, "known", len(n.cfg.KnownList.Instances), "generation", n.cfg.KnownList.Generation)
 }
 
-// acquireState makes this process the owner of the state and replays the journal; errLocked if another one is.
+// acquireState makes this process the owner of the state and replays the journal. It returns errStateLocked if another
+// process is the owner.
 func (n *Node) acquireState() (err error) {
-	_, none := os.Stat(filepath.Join(n.cfg.StateDir, lockFileName))
+	_, statErr := os.Stat(filepath.Join(n.cfg.StateDir, lockFileName))
 	if n.lockFile, err = lockState(n.cfg.StateDir); err != nil {
 		return err
 	}
 	n.journal, err = n.openJournal()
-	n.restarted = none == nil || err == nil && n.journal.size > 0
+	n.restarted = statErr == nil || err == nil && n.journal.size > 0
 	if err == nil && n.journal.truncatedBytes > 0 {
 		n.log.Warn("journal was not whole", "cut", n.journal.truncatedBytes)
 	}
 	return err
 }
 
-// newDiscoveryClient is the client that watches the list for this sender.
+// newDiscoveryClient returns the client that watches the endpoint list for this sender.
 func (n *Node) newDiscoveryClient() *discovery.Client {
-	set := &n.cfg.Deployment.Settings
-	return discovery.NewClient(discovery.Config{Addr: n.cfg.DiscoveryAddr, Senders: set.Senders, Pushed: set.ListPushed, DrainGrace: toDuration(set.DrainGrace),
-		Seed: n.cfg.Seed, MaxAnswerBytes: n.cfg.Limits.maxListBytes(), Directory: n.directory, Store: n.listStore, Log: n.log}, n.events)
+	settings := &n.cfg.Deployment.Settings
+	return discovery.NewClient(discovery.Config{Addr: n.cfg.DiscoveryAddr, Senders: settings.Senders,
+		Pushed: settings.ListPushed, DrainGrace: toDuration(settings.DrainGrace), Seed: n.cfg.Seed, MaxAnswerBytes: n.cfg.Limits.maxListBytes(), Directory: n.directory, Store: n.listStore, Log: n.log}, n.events)
 }
 
-// target is where an endpoint can be reached; without an address if it never had one.
+// target returns where an endpoint can be reached; without an address if it never had one.
 func (n *Node) target(ep logic.EndpointID) discovery.Target {
 	t, _ := n.directory.Target(ep)
 	return t
@@ -186,7 +191,7 @@
 	return OpenJournal(n.cfg.StateDir, n.cfg.Limits.diskBytes())
 }
 
-// MoveDiscovery takes another address of discovery, for the list and for notices. It may be called at any time.
+// MoveDiscovery sets another address of discovery, for the list and for notices. It may be called at any time.
 func (n *Node) MoveDiscovery(addr string) {
 	n.log.Info("discovery has moved", "addr", addr)
 	n.watcher.SetAddress(addr)
@@ -203,7 +208,7 @@
 	return logic.Micros(d / time.Microsecond)
 }
 
-// Run serves until ctx is cancelled, then shuts down in good order.
+// Run serves until ctx is cancelled and then shuts down gracefully, or until a successor has taken over.
 func (n *Node) Run(ctx context.Context) error {
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -215,7 +220,7 @@
 	defer endAdmin()
 	if err := n.acquireMessages(ctx, work); err != nil {
 		if ctx.Err() != nil {
-			return nil // stopped while it waited for its turn
+			return nil // stopped while it waited for the owner of the state
 		}
 		return err
 	}
@@ -224,14 +229,14 @@
 		n.log.Error("no handover to a new process will be possible", "err", err)
 	}
 	if !n.cfg.Deployment.Settings.ListOnRequest {
-		n.watchList(work) // the module is told of changes without asking; on a socket somebody must ask
+		n.watchList(work) // the decision logic does not ask for a pushed list; over HTTP the sender has to request it
 	}
 	go n.notices.run(work)
 	go n.clients.serve(ln)
 	n.setReadiness(nil)
 	n.log.Info("ready", "name", n.cfg.Name, "addr", ln.Addr().String(), "held", len(n.held))
 	n.ready <- ln.Addr()
-	served := make(chan struct{}) // closed when no client is left
+	served := make(chan struct{}) // closed when no client is connected
 	stopped := make(chan struct{})
 	var exitBy time.Time // set before stopped or served is closed
 	go func() {
@@ -240,14 +245,14 @@
 		case <-work.Done():
 			return
 		}
-		at := time.Now()
-		exitBy = at.Add(shutdownClientTimeout)
+		stoppedAt := time.Now()
+		exitBy = stoppedAt.Add(shutdownClientTimeout)
 		n.setReadiness(errStopping)
 		n.events <- closingEvent{shutdownSendTimeout}
 		time.Sleep(shutdownAcceptTime)
 		ln.Close()
-		grace, end := context.WithDeadline(work, at.Add(shutdownLoopTimeout))
-		defer end()
+		grace, endGrace := context.WithDeadline(work, stoppedAt.Add(shutdownLoopTimeout))
+		defer endGrace()
 		n.clients.shutdown(grace)
 		close(served)
 		<-grace.Done()
@@ -264,33 +269,33 @@
 	return err
 }
 
-// acquireMessages makes this process the owner of the messages and opens the way to clients: alone, or with all that another
-// process hands over.
+// acquireMessages makes this process the owner of the messages and sets the listener: from the journal alone, or with
+// all that another process hands over.
 func (n *Node) acquireMessages(ctx, work context.Context) error {
-	var l *takeover
+	var t *takeover
 	var err error
 	if n.journal == nil {
-		if l, err = n.takeOver(ctx); err != nil {
+		if t, err = n.takeOver(ctx); err != nil {
 			return err
 		}
 	}
-	if l != nil {
-		n.listener = l.listener
-		l.acknowledge()
-		n.adopt(work, l)
+	if t != nil {
+		n.listener = t.listener
+		t.acknowledge()
+		n.adopt(work, t)
 		n.step(work)
-		n.watchList(work) // the module takes the watch for begun
+		n.watchList(work) // the decision logic assumes that the watch has begun
 		return nil
 	}
 	n.resumeFromJournal()
-	n.step(work) // what the journal holds comes first: its ends are due
+	n.step(work) // the journal's messages come before any client: their ends may be due
 	if n.listener, err = listenShared(ctx, n.cfg.ListenAddr); err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	return nil
 }
 
-// listenShared listens where another process of this sender may listen as well.
+// listenShared listens on an address on which another process of this sender may be listening too.
 func listenShared(ctx context.Context, addr string) (net.Listener, error) {
 	const reusePort = 0xf // SO_REUSEPORT, which package syscall lacks on some architectures
 	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
@@ -305,7 +310,7 @@
 	return lc.Listen(ctx, "tcp", addr)
 }
 
-// listenForSuccessors lets new processes ask to take over, until work is over.
+// listenForSuccessors accepts requests of new processes to take over, until work is done.
 func (n *Node) listenForSuccessors(work context.Context) error {
 	ln, err := listenHandover(n.cfg.StateDir)
 	if err != nil {
@@ -315,12 +320,12 @@
 	return nil
 }
 
-// finishAfterHandover ends what stays here after a handover: requests that were half read, and operators that call this process
-// still.
+// finishAfterHandover ends what stays in this process after a handover: clients with partially read requests, and
+// operators that still call the old address.
 func (n *Node) finishAfterHandover(ctx context.Context) {
-	n.close() // the lock is the successor's now
-	grace, end := context.WithTimeout(context.Background(), shutdownLoopTimeout)
-	defer end()
+	n.close() // the successor owns the lock
+	grace, endGrace := context.WithTimeout(context.Background(), shutdownLoopTimeout)
+	defer endGrace()
 	n.clients.shutdown(grace)
 	n.clients.reportUnanswered()
 	select {
@@ -330,7 +335,7 @@
 	n.log.Info("stopped after the handover")
 }
 
-// close gives up what a process owns. It may be called twice.
+// close closes the journal and the lock file. It may be called twice.
 func (n *Node) close() {
 	if n.journal != nil {
 		n.journal.Close()
@@ -340,7 +345,7 @@
 	}
 }
 
-// openAdmin lets operators call, where an address for them is given, until the returned function has been called.
+// openAdmin serves operators, if an address for them is configured, until the returned function has been called.
 func (n *Node) openAdmin() (end func(), err error) {
 	if n.admin == nil {
 		return func() {}, nil
@@ -356,7 +361,7 @@
 	return func() { cancel(); <-closed }, nil
 }
 
-// setReadiness tells operators that this process can serve, or why it cannot.
+// setReadiness sets what operators see: that this process can serve, or why it cannot.
 func (n *Node) setReadiness(err error) {
 	if n.admin != nil {
 		n.admin.setReadiness(err)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,7 +18,7 @@
 	"crossdeal/logic"
 )
 
-// owedIDs lists what a stopped sender has left in its journal.
+// owedIDs returns the ids of the messages that a stopped sender has left in its journal.
 func owedIDs(t *testing.T, dir string) (ids []string) {
 	t.Helper()
 	for _, e := range openJournal(t, dir, 3e6).Entries() {
@@ -27,7 +27,7 @@
 	return ids
 }
 
-// stopWithNothingOwed shuts a sender down and checks that it owes nothing.
+// stopWithNothingOwed shuts a sender down and checks that its journal has no message left.
 func stopWithNothingOwed(t *testing.T, n *testNode) {
 	t.Helper()
 	n.stop()
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	if ids := owedIDs(t, n.cfg.StateDir); ids != nil {
-		t.Errorf("still owed: %v", ids)
+		t.Errorf("messages left in the journal: %v", ids)
 	}
 }
 
@@ -47,13 +47,14 @@
 	c.put("a", "keyed", "+OK")
 	in := await(t, e[0].calls, "call")
 	if in.body != "body of a" || in.id() != "a" || in.request.Header.Get("Idempotency-Key") != "key-a" {
-		t.Errorf("went out changed: %v %q", in.request.Header, in.body)
+		t.Errorf("message was sent with changes: header %v, body %q", in.request.Header, in.body)
 	}
 	in.reply(200)
 	stopWithNothingOwed(t, n)
 }
 
-// A client may hand an id in once more when its connection was closed: that is one message, held or delivered.
+// A client may submit a message again when its connection was closed. The same id is one message, whether the sender
+// still holds it or has delivered it.
 func TestSameIDTwiceIsOneMessage(t *testing.T) {
 	n, c, _, e := startNodeWithEndpoints(t, 1)
 	c.send("MSG.PUT", "0", "a", "c=safe,d=9000,dest=1", "x")
@@ -68,14 +69,15 @@
 	c.put("a", "safe", "+OK")
 	c.put("b", "safe", "+OK")
 	if in := await(t, e[0].calls, "call"); in.id() != "b" {
-		t.Fatalf("call with %s, want b", in.id())
+		t.Fatalf("call with message %s, want b", in.id())
 	} else {
 		in.reply(200)
 	}
 	stopWithNothingOwed(t, n)
 }
 
-// What the module gives up is answered at once, with the time to come again.
+// A message that the decision logic refuses in its first step is answered with -BUSY and a retry delay. It was not
+// accepted, so no notice follows.
 func TestMessageRefusedAtOnceGetsBusyAndNoNotice(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.putWithTime("late", "safe", 1, "-BUSY 2000")
@@ -83,11 +85,11 @@
 	await(t, e[0].calls, "call").reply(200)
 	stopWithNothingOwed(t, n)
 	if len(p.notices) != 0 {
-		t.Errorf("a notice for a message that was never taken on: %v", <-p.notices)
+		t.Errorf("notice for a message that was not accepted: %v", <-p.notices)
 	}
 }
 
-// The hold has a limit; what comes above it is turned away, and so is what the journal has no room for.
+// A message is rejected above the limit of open messages, and when the journal has no room for it.
 func TestPutIsRejectedWhenNodeOrJournalIsFull(t *testing.T) {
 	p := newTestPlatform(t)
 	cfg, err := ParseConfig(configText(p, discovery.List{}))
@@ -104,28 +106,28 @@
 	put := putEvent{Message{ID: "a", Class: "safe", Destination: 1, Body: make([]byte, 100)}, answer}
 	n.openMessages = cfg.Deployment.Settings.MaxOpen
 	if n.handlePut(put); await(t, answer, "answer") != "-BUSY\r\n" {
-		t.Error("taken on above max_open")
+		t.Error("message accepted above max_open")
 	}
 	n.openMessages = 0
 	n.journal.limit = 500
 	if n.handlePut(put); await(t, answer, "answer") != "-BUSY\r\n" {
-		t.Error("taken on without room in the journal")
+		t.Error("message accepted without room in the journal")
 	}
 }
 
-// A message that can't be journalled is not taken on: it would be lost with the process. Nothing of it is sent,
-// and the module gets the outcome of what it wanted to send, or a slot would be lost for good.
+// A message that cannot be journaled is not accepted, since it would be lost with the process. Nothing of it is sent,
+// and the decision logic gets the outcome of its attempt, or it would lose a slot for good.
 func TestMessageIsNotAcceptedWhenJournalFails(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "later")
 	n, c, _, e := startNodeWithEndpoints(t, 1, func(n *Node) {
-		bad, err := os.Open(n.journal.file.Name()) // can't be written
+		readOnly, err := os.Open(n.journal.file.Name()) // opened read-only, so writes fail
 		if err != nil {
 			t.Fatal(err)
 		}
 		n.journal.file.Close()
-		n.journal.file, n.journal.dir, n.cfg.StateDir = bad, dir, dir // nor rewritten, as long as dir is not there
+		n.journal.file, n.journal.dir, n.cfg.StateDir = readOnly, dir, dir // a rewrite fails too until dir exists
 	})
-	for i := range 10 { // more than there are slots
+	for i := range 10 { // more than the number of slots
 		c.put(fmt.Sprint("x", i), "safe", "-BUSY")
 	}
 	e[0].expectNoCall(t)
@@ -135,27 +137,27 @@
 	c.put("a", "safe", "+OK")
 	in := await(t, e[0].calls, "call")
 	if in.id() != "a" {
-		t.Fatalf("call with %s, want a", in.id())
+		t.Fatalf("call with message %s, want a", in.id())
 	}
 	in.reply(200)
 	stopWithNothingOwed(t, n)
 }
 
-// Told to wait, the sender sends nothing there, for any message, until the wait is over.
+// After a retry-after the sender sends no message to the destination until the wait is over.
 func TestNothingIsSentDuringRetryAfter(t *testing.T) {
 	n, c, _, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "safe", "+OK")
 	in := await(t, e[0].calls, "call")
 	const wait = 400 * time.Millisecond
-	told := time.Now()
+	repliedAt := time.Now()
 	in.reply(429, "X-Come-Back-Ms: 400")
 	c.put("b", "safe", "+OK")
 	for range 2 {
 		in := await(t, e[0].calls, "call")
-		if in.receivedAt.Sub(told) < wait {
-			// b may have gone before the answer was read; that is excused for 100 ms.
-			if in.receivedAt.Sub(told) > 100*time.Millisecond {
-				t.Errorf("%s was sent %v after a wait of %v was told", in.id(), in.receivedAt.Sub(told), wait)
+		if in.receivedAt.Sub(repliedAt) < wait {
+			// b may have been sent before the response was read; this is allowed for 100 ms.
+			if in.receivedAt.Sub(repliedAt) > 100*time.Millisecond {
+				t.Errorf("%s was sent %v after the endpoint asked for a wait of %v", in.id(), in.receivedAt.Sub(repliedAt), wait)
 			}
 		}
 		in.reply(200)
@@ -163,7 +165,8 @@
 	stopWithNothingOwed(t, n)
 }
 
-// Refusals prove that nothing ran: also an unsafe message is sent again, and returned once its attempts are used up.
+// A rejection proves that the message did not run, so even an unsafe message is sent again. It is returned once its
+// attempts are used up.
 func TestUnsafeMessageIsRetriedAfterRefusals(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("full", "unsafe", "+OK")
@@ -186,7 +189,7 @@
 	e[0].expectNoCall(t)
 }
 
-// The endpoint says that the message is over: nothing is owed, not even a notice.
+// A 410 means that the message has ended elsewhere: the sender drops it without a notice.
 func TestGoneStatusEndsMessageWithoutNotice(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "unsafe", "+OK")
@@ -198,7 +201,7 @@
 	}
 }
 
-// After an error or a reset it may have run: an unsafe message fails, others are sent again.
+// After an error or a reset a message may have run: an unsafe message fails, others are sent again.
 func TestUnsafeMessageFailsAndOthersAreRetriedAfterErrorOrReset(t *testing.T) {
 	for _, how := range []string{"500", "reset"} {
 		t.Run(how, func(t *testing.T) {
@@ -217,7 +220,7 @@
 			}
 			c.put("k", "keyed", "+OK")
 			end(await(t, e[0].calls, "call"))
-			in := await(t, e[0].calls, "call again")
+			in := await(t, e[0].calls, "second call")
 			if in.id() != "k" || in.request.Header.Get("Idempotency-Key") != "key-k" {
 				t.Errorf("call with %v", in.request.Header)
 			}
@@ -228,7 +231,7 @@
 	}
 }
 
-// An endpoint that answers nothing: an unsafe message fails when its time is up, and the call is ended.
+// An unsafe message on an endpoint that does not respond fails at its deadline, and its call is ended.
 func TestUnsafeMessageFailsAtDeadlineOnUnresponsiveEndpoint(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.putWithTime("u", "unsafe", 300, "+OK")
@@ -240,8 +243,8 @@
 	stopWithNothingOwed(t, n)
 }
 
-// A safe message is called off at an endpoint that hangs and goes to another; the first call must have ended for
-// the endpoint before the second begins, or there are two copies.
+// A safe message is cancelled at an endpoint that does not respond and is sent to another one. The first call must have
+// ended for the endpoint before the second begins, or both may run at the same time.
 func TestSafeMessageMovesFromUnresponsiveEndpoint(t *testing.T) {
 	n, c, _, e := startNodeWithEndpoints(t, 2)
 	c.put("s", "safe", "+OK")
@@ -254,23 +257,23 @@
 	case <-time.After(testTimeout):
 		t.Fatal("no call")
 	}
-	second = await(t, next.calls, "call elsewhere")
+	second = await(t, next.calls, "call at the other endpoint")
 	first.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 	if _, err := first.reader.Read(make([]byte, 1)); err == nil || isTimeout(err) {
-		t.Errorf("the first call is still open: %v", err)
+		t.Errorf("first call is still open: %v", err)
 	}
 	second.reply(200)
 	stopWithNothingOwed(t, n)
 }
 
-// awaitListRequestFrom waits until the sender has the list of a generation: it asks from there on.
+// awaitListRequestFrom waits until the sender has the list of a generation, which shows in its next request.
 func awaitListRequestFrom(t *testing.T, p *testPlatform, generation int) {
 	t.Helper()
-	for !strings.HasPrefix(await(t, p.listRequests, "call for the list"), fmt.Sprintf("from=%d&", generation)) {
+	for !strings.HasPrefix(await(t, p.listRequests, "list request"), fmt.Sprintf("from=%d&", generation)) {
 	}
 }
 
-// Nothing new goes to an endpoint that drains; an address may change under the same name.
+// A draining endpoint gets no new calls. An endpoint may change its address and keep its name.
 func TestDrainingEndpointGetsNothingAndAddressMayChange(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 2)
 	list := instancesOf(e...)
@@ -292,7 +295,7 @@
 	e[1].expectNoCall(t)
 }
 
-// Where the list is pushed the module does not ask for it: the sender hears of changes all the same.
+// With a pushed list the decision logic does not request it, and the sender still applies changes.
 func TestPushedListChangesAreApplied(t *testing.T) {
 	p := newTestPlatform(t)
 	e := []*testEndpoint{newTestEndpoint(t), newTestEndpoint(t)}
@@ -304,7 +307,7 @@
 		t.Fatal(err)
 	}
 	if cfg.Deployment.Settings.ListOnRequest {
-		t.Fatal("the list is not pushed in this configuration")
+		t.Fatal("configuration does not have a pushed list")
 	}
 	n := startNodeWithConfig(t, cfg, t.TempDir())
 	awaitListRequestFrom(t, p, 1)
@@ -321,7 +324,7 @@
 	stopWithNothingOwed(t, n)
 }
 
-// While discovery is down the last list serves, and the sender asks again until it hears.
+// While discovery is down the sender uses the last list and repeats its request until it gets a response.
 func TestLastListServesWhileDiscoveryIsDown(t *testing.T) {
 	p := newTestPlatform(t)
 	p.down = true
@@ -342,15 +345,15 @@
 	stopWithNothingOwed(t, n)
 }
 
-// A list that breaks off counts for nothing: the last whole one serves, and the sender asks again.
+// A truncated list is ignored: the sender goes on with the last complete list and repeats its request.
 func TestTruncatedListIsIgnored(t *testing.T) {
 	p := newTestPlatform(t)
 	e, moved := newTestEndpoint(t), newTestEndpoint(t)
 	p.truncateLists, p.list = true, discovery.List{Generation: 2, Reset: true, Instances: instancesOf(moved, moved)}
 	n := startNode(t, p, t.TempDir(), discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)})
 	c := dialClient(t, n.addr)
-	await(t, p.listRequests, "call for the list")
-	await(t, p.listRequests, "second call for the list")
+	await(t, p.listRequests, "list request")
+	await(t, p.listRequests, "second list request")
 	c.put("a", "safe", "+OK")
 	await(t, e.calls, "call").reply(200)
 	p.update(func() { p.truncateLists = false })
@@ -360,8 +363,8 @@
 	stopWithNothingOwed(t, n)
 }
 
-// What is missing or makes no sense in the configuration, or was torn in the journal, gets a line in the log, and the
-// sender serves all the same. Without a seed each start draws one of its own: senders must not act in step.
+// An invalid or missing value of the configuration, or a torn journal, is logged, and the sender serves all the same.
+// Without a valid seed each start generates one, since senders must not act in lockstep.
 func TestInvalidConfigurationIsLoggedAndNodeServes(t *testing.T) {
 	p := newTestPlatform(t)
 	e := newTestEndpoint(t)
@@ -382,7 +385,7 @@
 	} {
 		text := strings.Replace(whole, x.old, x.with, 1)
 		if text == whole && x.old != "" {
-			t.Fatalf("no %s in the configuration", x.old)
+			t.Fatalf("configuration does not contain %s", x.old)
 		}
 		cfg, err := ParseConfig([]byte(text))
 		if err != nil {
@@ -391,7 +394,7 @@
 		}
 		if x.line == "seed" {
 			if seeds[cfg.Seed] || cfg.Seed == 0 {
-				t.Errorf("%s: seed %x again", x.with, cfg.Seed)
+				t.Errorf("%s: seed %x is 0 or was used before", x.with, cfg.Seed)
 			}
 			seeds[cfg.Seed] = true
 		}
@@ -407,7 +410,7 @@
 		}
 		n.journal.Close()
 		if !strings.Contains(log.String(), x.line) {
-			t.Errorf("%s: the log has no word of %q:\n%s", x.with, x.line, log)
+			t.Errorf("%s: no log line contains %q:\n%s", x.with, x.line, log)
 		}
 		sender := startNodeWithConfig(t, cfg, t.TempDir())
 		dialClient(t, sender.addr).put("a", "safe", "+OK")
@@ -421,13 +424,13 @@
 	p.unresponsive = true
 	e := newTestEndpoint(t)
 	n := startNode(t, p, t.TempDir(), discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)})
-	await(t, p.listRequests, "call for the list")
+	await(t, p.listRequests, "list request")
 	dialClient(t, n.addr).put("a", "safe", "+OK")
 	await(t, e.calls, "call").reply(200)
 	stopWithNothingOwed(t, n)
 }
 
-// A notice counts once the platform has confirmed it, and is sent until then.
+// A notice is sent again until the platform has confirmed it.
 func TestNoticeIsSentUntilConfirmed(t *testing.T) {
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	p.update(func() { p.rejectNotices = true })
@@ -442,7 +445,7 @@
 	stopWithNothingOwed(t, n)
 }
 
-// Whatever a client sends, it gets an error line and nobody else is hurt.
+// A malformed request gets an error line, and other clients are not affected.
 func TestMalformedRequests(t *testing.T) {
 	n, c, _, e := startNodeWithEndpoints(t, 1)
 	const good = "c=safe,t=acme,d=9000,dest=1"
@@ -462,7 +465,7 @@
 		}
 	}
 	if got := c.do("PING"); got != "+PONG" {
-		t.Errorf("afterwards: %q", got)
+		t.Errorf("PING after malformed requests: %q", got)
 	}
 	for _, raw := range []string{"*1\r\n$9223372036854775807\r\n", "*1000000000\r\n", "GET / HTTP/1.1\r\n\r\n", "*1\r\n$65537\r\n"} {
 		bad := dialClient(t, n.addr)
@@ -471,32 +474,32 @@
 			t.Errorf("%q: got %q", raw, got)
 		}
 		if got := bad.readLine(); got != "" {
-			t.Errorf("%q: the connection goes on with %q", raw, got)
+			t.Errorf("%q: connection is not closed: got %q", raw, got)
 		}
 	}
 	half := dialClient(t, n.addr)
 	half.conn.Write([]byte("*5\r\n$7\r\nMSG"))
 	half.conn.Close()
-	body := strings.Repeat("\x00\r\n", 1<<14) // bodies hold any bytes
+	body := strings.Repeat("\x00\r\n", 1<<14) // a body may contain any bytes
 	if got := c.do("MSG.PUT", "0", "a", good, body); got != "+OK" {
 		t.Errorf("got %q", got)
 	}
 	in := await(t, e[0].calls, "call")
 	if in.body != body {
-		t.Errorf("body went out changed: %d bytes of %d", len(in.body), len(body))
+		t.Errorf("body was sent with changes: %d bytes, want %d", len(in.body), len(body))
 	}
 	in.reply(200)
 	stopWithNothingOwed(t, n)
 }
 
-// Peers that say nothing, or never finish, are closed, and shut nobody out while they last.
+// Clients that send nothing, or only a part of a request, are closed and do not keep other clients out.
 func TestSilentClientsDoNotKeepOthersOut(t *testing.T) {
 	n, c, _, e := startNodeWithEndpoints(t, 1, func(n *Node) { n.clients.maxConns = 4 })
 	c.put("a", "safe", "+OK")
 	await(t, e[0].calls, "call").reply(200)
 	silent, half := dialClient(t, n.addr), dialClient(t, n.addr)
 	half.conn.Write([]byte("*5\r\n$7\r\nMSG"))
-	if got := c.do("PING"); got != "+PONG" { // by now both are in the table or come to it before the next
+	if got := c.do("PING"); got != "+PONG" { // both are in the table by now, or get there before the next client
 		t.Fatalf("got %q", got)
 	}
 	for i := range 8 {
@@ -507,15 +510,15 @@
 		x.conn.Close()
 	}
 	if got := silent.readLine(); got != "" {
-		t.Errorf("a silent peer got %q", got)
+		t.Errorf("silent client got %q", got)
 	}
 	if got := half.readLine(); got != "" && !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("a peer with half a request got %q", got)
+		t.Errorf("client with a partial request got %q", got)
 	}
 	stopWithNothingOwed(t, n)
 }
 
-// A request that came just before the sender closes its connections is answered: its client counts on that.
+// A request that arrives just before the sender closes its connections is answered, since its client expects an answer.
 func TestRequestBeforeCloseIsAnsweredAtShutdown(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -534,7 +537,7 @@
 			break
 		}
 		if time.Now().After(stop) {
-			t.Fatal("the request does not come")
+			t.Fatal("timed out waiting for the request")
 		}
 	}
 	served := newClients(&Config{}, slog.New(slog.DiscardHandler), nil)
@@ -546,11 +549,11 @@
 		t.Errorf("got %q", got)
 	}
 	if got := c.readLine(); got != "" {
-		t.Errorf("the connection goes on with %q", got)
+		t.Errorf("connection is not closed: got %q", got)
 	}
 }
 
-// A request of which a part had come when the sender was told to stop is read to its end and answered.
+// A request that was partially received when the sender began to stop is read completely and answered.
 func TestPartialRequestIsReadAndAnsweredAtShutdown(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -562,16 +565,16 @@
 	io.WriteString(c.conn, "*1\r\n$4\r\n")
 	for stop := time.Now().Add(testTimeout); ; {
 		served.mu.Lock()
-		begun := false
+		started := false
 		for _, x := range served.conns {
-			begun = begun || x.state == connReading
+			started = started || x.state == connReading
 		}
 		served.mu.Unlock()
-		if begun {
+		if started {
 			break
 		}
 		if time.Now().After(stop) {
-			t.Fatal("the request does not begin")
+			t.Fatal("timed out waiting for the begin of the request")
 		}
 	}
 	ln.Close()
@@ -584,12 +587,12 @@
 		t.Errorf("got %q", got)
 	}
 	if got := c.readLine(); got != "" {
-		t.Errorf("the connection goes on with %q", got)
+		t.Errorf("connection is not closed: got %q", got)
 	}
 	await(t, done, "end of the shutdown")
 }
 
-// A probe that is asked for has its one result.
+// A probe is a GET request for /alive.
 func TestProbeRequestsAlivePath(t *testing.T) {
 	n, _, _, e := startNodeWithEndpoints(t, 1)
 	n.probe(t.Context(), 1)
@@ -601,16 +604,16 @@
 	stopWithNothingOwed(t, n)
 }
 
-// A wait or a drain holds the calls that still connect there, and no others.
+// A wait or a list update withholds the calls that are connecting to an affected endpoint, and no others.
 func TestWaitOrDrainWithholdsOnlyConnectingCalls(t *testing.T) {
 	for _, x := range []struct {
-		name  string
-		apart bool
-		learn func(n *Node)
-		held  [4]bool // connecting to endpoints 1 and 2 of destination 1 and 3 of destination 2; written to 1
+		name           string
+		separateRoutes bool
+		apply          func(n *Node)
+		withheld       [4]bool // connecting to endpoints 1 and 2 of destination 1, to 3 of destination 2; written to 1
 	}{
 		{"wait, one limit", false, func(n *Node) { n.withholdCallsForWait(1) }, [4]bool{true, true, false, false}},
-		{"wait, routes apart", true, func(n *Node) { n.withholdCallsForWait(1) }, [4]bool{true, false, false, false}},
+		{"wait, separate routes", true, func(n *Node) { n.withholdCallsForWait(1) }, [4]bool{true, false, false, false}},
 		{"drain", false, func(n *Node) {
 			applyList(n, discovery.List{Instances: []discovery.Instance{{ID: "b", Destination: 1, Lifecycle: "draining"}}})
 		}, [4]bool{false, true, false, false}},
@@ -632,7 +635,7 @@
 			t.Fatal(err)
 		}
 		cfg.StateDir = t.TempDir()
-		cfg.Deployment.Settings.Kinds[0].SeparateRoutes = x.apart
+		cfg.Deployment.Settings.Kinds[0].SeparateRoutes = x.separateRoutes
 		n, err := New(cfg, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
@@ -647,26 +650,27 @@
 			n.held[fmt.Sprint("m", i)] = &heldMessage{call: calls[i], cancelCall: func(error) {}}
 		}
 		calls[3].state.Store(callWritten)
-		x.learn(n)
+		x.apply(n)
 		for i, c := range calls {
-			if got := c.state.Load() == callWithheld; got != x.held[i] {
-				t.Errorf("%s: call %d held: %v", x.name, i, got)
+			if got := c.state.Load() == callWithheld; got != x.withheld[i] {
+				t.Errorf("%s: call %d withheld: %v", x.name, i, got)
 			}
 		}
 	}
 }
 
-// Whether an attempt may have run decides after a restart whether an unsafe message is sent again.
+// After a restart an unsafe message is sent again only if no attempt may have run, so each outcome must be classified
+// correctly.
 func TestMayHaveRunByOutcome(t *testing.T) {
 	for o, want := range map[logic.Outcome]bool{logic.Completed: true, logic.Errored: true, logic.TimedOut: true,
 		logic.ConnBroken: true, logic.Cancelled: true, logic.Rejected: false, logic.ConnRefused: false, logic.NotSent: false} {
 		if mayHaveRun(o) != want {
-			t.Errorf("outcome %d: may have run %v", o, !want)
+			t.Errorf("outcome %d: mayHaveRun is %v", o, !want)
 		}
 	}
 }
 
-// The module hears the load that an answer reports, each field in its place; what makes no sense is left out.
+// The decision logic gets the load that a response reports, each field at its index. Invalid fields are skipped.
 func TestLoadReportIsParsedFromAnswer(t *testing.T) {
 	p := newTestPlatform(t)
 	text := strings.Replace(string(configText(p, discovery.List{})), `{"how":"off","names":[]}`, `{"how":"answers","names":["x0","x1"]}`, 1)
@@ -694,7 +698,7 @@
 			t.Errorf("%q: load %v, want %v", x.report, got, x.want)
 		}
 	}
-	// And it comes all the way from the wire.
+	// The report is also read from a response.
 	e := newTestEndpoint(t)
 	got := doInBackground(t.Context(), newTestTransport(), newTestCall(t, e.addr(), "x", testTimeout))
 	await(t, e.calls, "call").reply(503, "Endpoint-Load-Metrics: x0=0,x1=3")
