--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -1,5 +1,7 @@
 package node
 
+// Notices of how messages ended: the queue that sends them to the platform until it confirms them.
+
 import (
 	"bytes"
 	"context"
@@ -14,24 +16,24 @@
 )
 
 const (
-	maxNoticesPerRequest = 256                    // notices in one request at most
-	noticeMinTimeout     = 150 * time.Millisecond // for the platform's answer, which comes at once; a silent connection shows soon ...
-	noticeMaxTimeout     = time.Second            // ... but a platform that is slow is given more, up to this
-	noticeMinRetryDelay  = 50 * time.Millisecond  // first pause after a request that failed
-	noticeMaxRetryDelay  = 400 * time.Millisecond // and the longest: an end is owed soon after a message's time is up
+	maxNoticesPerRequest = 256                    // upper bound per request
+	noticeMinTimeout     = 150 * time.Millisecond // for a response, which is normally immediate, so a dead connection shows early ...
+	noticeMaxTimeout     = time.Second            // ... and doubled up to this after failures
+	noticeMinRetryDelay  = 50 * time.Millisecond  // delay after the first failed request
+	noticeMaxRetryDelay  = 400 * time.Millisecond // longest delay: a notice is due soon after the message's deadline
 )
 
 // noticesConfirmedEvent says that the platform has confirmed the ends of these messages.
 type noticesConfirmedEvent struct{ ids []string }
 
-// noticeQueue tells the platform how messages ended. The journal owes each notice until it is confirmed, so the queue
-// holds no more than the journal has room for, and what is still in it when the process ends goes out at the next
-// start. A notice that goes out twice does no harm.
+// noticeQueue reports to the platform how messages ended. The journal keeps each notice until it is confirmed, so the
+// queue holds no more than the journal has room for, and what is still in it when the process ends is sent after the
+// next start. Sending a notice twice is harmless.
 type noticeQueue struct {
 	client *http.Client
 	log    *slog.Logger
 	events chan<- any
-	wake   chan struct{} // holds one token when something was added
+	wake   chan struct{} // holds a token when something was added
 	mu     sync.Mutex
 	url    string
 	queue  []Notice
@@ -45,17 +47,17 @@
 
 func outcomesURL(addr string) string { return "http://" + addr + "/v1/outcomes" }
 
-// setAddr takes another address from the next request on. One under way to the old one ends as it may.
+// setAddr sets the address for the requests that follow. A request in flight to the old address is not interrupted.
 func (n *noticeQueue) setAddr(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.url = outcomesURL(addr)
 }
 
-// add queues a notice. It never waits.
-func (n *noticeQueue) add(x Notice) {
+// add queues a notice. It never blocks.
+func (n *noticeQueue) add(notice Notice) {
 	n.mu.Lock()
-	n.queue = append(n.queue, x)
+	n.queue = append(n.queue, notice)
 	n.mu.Unlock()
 	select {
 	case n.wake <- struct{}{}:
@@ -63,9 +65,9 @@
 	}
 }
 
-// run sends what is queued, oldest first, until ctx is over. Only run takes notices off the queue.
+// run sends the queued notices, oldest first, until ctx is done. Only run removes notices from the queue.
 func (n *noticeQueue) run(ctx context.Context) {
-	pause, limit := noticeMinRetryDelay, noticeMinTimeout
+	delay, timeout := noticeMinRetryDelay, noticeMinTimeout
 	for {
 		url, batch := n.nextBatch()
 		if len(batch) == 0 {
@@ -76,7 +78,7 @@
 			}
 			continue
 		}
-		if err := n.post(ctx, url, batch, limit); err != nil {
+		if err := n.post(ctx, url, batch, timeout); err != nil {
 			if ctx.Err() != nil {
 				return
 			}
@@ -84,15 +86,15 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(pause):
+			case <-time.After(delay):
 			}
-			pause, limit = min(2*pause, noticeMaxRetryDelay), min(2*limit, noticeMaxTimeout)
+			delay, timeout = min(2*delay, noticeMaxRetryDelay), min(2*timeout, noticeMaxTimeout)
 			continue
 		}
-		pause, limit = noticeMinRetryDelay, noticeMinTimeout
+		delay, timeout = noticeMinRetryDelay, noticeMinTimeout
 		ids := make([]string, len(batch))
-		for i, x := range batch {
-			ids[i] = x.ID
+		for i, notice := range batch {
+			ids[i] = notice.ID
 		}
 		n.removeFirst(len(batch))
 		select {
@@ -103,7 +105,7 @@
 	}
 }
 
-// nextBatch copies the oldest notices, which stay queued until they are confirmed.
+// nextBatch returns a copy of the oldest notices, which stay queued until they are confirmed.
 func (n *noticeQueue) nextBatch() (string, []Notice) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -120,18 +122,18 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.queue = n.queue[count:]; len(n.queue) == 0 {
-		n.queue = nil // lets go of the array
+		n.queue = nil // releases the array
 	}
 }
 
-func (n *noticeQueue) post(ctx context.Context, url string, batch []Notice, limit time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (n *noticeQueue) post(ctx context.Context, url string, batch []Notice, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var body bytes.Buffer
-	enc := json.NewEncoder(&body) // one object a line
-	for _, x := range batch {
-		if err := enc.Encode(x); err != nil {
-			return fmt.Errorf("notice for %s: %w", x.ID, err)
+	enc := json.NewEncoder(&body) // one object per line
+	for _, notice := range batch {
+		if err := enc.Encode(notice); err != nil {
+			return fmt.Errorf("notice for %s: %w", notice.ID, err)
 		}
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, &body)
@@ -144,10 +146,10 @@
 		return err
 	}
 	defer resp.Body.Close()
-	// The rest of the answer is read so that the connection can serve again; what it says does not matter.
+	// The body is read so that the connection can be reused; its content does not matter.
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes))
 	if resp.StatusCode != http.StatusNoContent {
-		return fmt.Errorf("the platform answered %s", resp.Status)
+		return fmt.Errorf("platform answered %s", resp.Status)
 	}
 	return nil
 }
--- a/internal/node/notices_test.go
+++ b/internal/node/notices_test.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// A connection to the platform may fall silent with a notice on it. The end of a message is owed 0.3 s after its time,
-// so the notice is sent again, on another connection, well before; the next such silence is given more time.
+// A connection to the platform may become unresponsive with a notice on it. A notice is due within 0.3 s of the
+// message's deadline, so it is sent again on another connection well before that. The timeout grows with each failure.
 func TestUnansweredNoticeIsSentAgain(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	came, answer := make(chan time.Time, 8), make(chan bool, 8)
+	received, answer := make(chan time.Time, 8), make(chan bool, 8)
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -34,7 +34,7 @@
 						return
 					}
 					io.Copy(io.Discard, req.Body)
-					came <- time.Now()
+					received <- time.Now()
 					if <-answer {
 						io.WriteString(conn, "HTTP/1.1 204 No Content\r\n\r\n")
 					}
@@ -46,26 +46,26 @@
 	n := newNoticeQueue(ln.Addr().String(), slog.New(slog.DiscardHandler), events)
 	go n.run(t.Context())
 	n.add(Notice{ID: "a", State: "failed"})
-	first := await(t, came, "notice")
+	first := await(t, received, "notice")
 	answer <- false
-	second := await(t, came, "notice again")
+	second := await(t, received, "second notice")
 	if gap := second.Sub(first); gap > noticeMaxTimeout {
-		t.Errorf("again after %v, the end of the message is owed sooner", gap)
+		t.Errorf("sent again after %v, which is too late", gap)
 	}
 	answer <- false
-	third := await(t, came, "third notice")
+	third := await(t, received, "third notice")
 	if gap := third.Sub(second); gap < 2*noticeMinTimeout {
-		t.Errorf("a platform that is slow is given no more time: %v", gap)
+		t.Errorf("timeout does not grow for a slow platform: %v", gap)
 	}
 	answer <- true
 	if ev := await(t, events, "confirmation").(noticesConfirmedEvent); len(ev.ids) != 1 || ev.ids[0] != "a" {
 		t.Errorf("confirmed %v", ev.ids)
 	}
 	n.add(Notice{ID: "b", State: "failed"})
-	await(t, came, "next notice")
+	await(t, received, "next notice")
 	answer <- true
-	await(t, events, "its confirmation")
-	if len(came) != 0 {
-		t.Error("a confirmed notice went out again")
+	await(t, events, "confirmation of the next notice")
+	if len(received) != 0 {
+		t.Error("confirmed notice was sent again")
 	}
 }
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -15,7 +15,7 @@
 	"crossdeal/internal/discovery"
 )
 
-// buildProgram is built once for all tests.
+// buildProgram builds the program once for all tests and returns its path.
 var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "cometrack")
 	if err != nil {
@@ -35,32 +35,32 @@
 	os.Exit(code)
 }
 
-// process is the real program.
+// process is a running process of the program.
 type process struct {
 	t          *testing.T
 	cmd        *exec.Cmd
 	addr       string
-	adminAddr  string // operators' address
-	configPath string // path
+	adminAddr  string // address for operators
+	configPath string
 	done       chan error
 	mu         sync.Mutex
-	violations []string // lines of its log that say that a rule was broken
+	violations []string // its log lines about broken rules
 }
 
-// violationLines lists what the process has logged of broken rules.
+// violationLines returns the log lines of the process about broken rules.
 func (x *process) violationLines() []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return slices.Clone(x.violations)
 }
 
-// startProcess starts it with what the platform would tell it and waits until it is ready.
+// startProcess starts the program with the environment that the platform sets, and waits until it is ready.
 func startProcess(t *testing.T, p *testPlatform, dir string, known discovery.List) *process {
 	t.Helper()
 	return startProcessAt(t, p, dir, known, "127.0.0.1:0")
 }
 
-// startProcessAt starts it with an address for clients, which another process of the sender may have.
+// startProcessAt starts the program with an address for clients, on which another process of the sender may listen.
 func startProcessAt(t *testing.T, p *testPlatform, dir string, known discovery.List, listen string) *process {
 	t.Helper()
 	path, err := buildProgram()
@@ -70,7 +70,7 @@
 	return startProcessWithConfig(t, p, dir, configText(p, known), listen, exec.Command(path))
 }
 
-// startProcessWithConfig starts it with a configuration of the test's own, by a command that becomes the program.
+// startProcessWithConfig starts the program by a given command with a given configuration.
 func startProcessWithConfig(t *testing.T, p *testPlatform, dir string, text []byte, listen string, cmd *exec.Cmd) *process {
 	t.Helper()
 	config := filepath.Join(t.TempDir(), "config.json")
@@ -119,7 +119,7 @@
 	await(x.t, x.done, "end of the program")
 }
 
-// terminate sends SIGTERM; end checks that the program ends by itself.
+// terminate sends SIGTERM; awaitExit checks that the program ends by itself.
 func (x *process) terminate() { x.cmd.Process.Signal(syscall.SIGTERM) }
 
 func (x *process) awaitExit() {
@@ -129,8 +129,8 @@
 	}
 }
 
-// A crash with a call out: it may have run. Nothing is handed in again, so the sender itself must send it again
-// where that is harmless, and must not where it is not.
+// After a crash with a call in flight the message may have run. The client does not submit it again, so the sender must
+// send it again if its class allows that, and must not otherwise.
 func TestCrashDuringCall(t *testing.T) {
 	p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
 	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
@@ -145,7 +145,7 @@
 	x = startProcess(t, p, dir, known)
 	again := map[string]string{}
 	for range 2 {
-		in := await(t, e.calls, "call again")
+		in := await(t, e.calls, "second call")
 		again[in.id()] = in.request.Header.Get("Idempotency-Key") + " " + in.body
 		in.reply(200)
 	}
@@ -159,11 +159,11 @@
 	x.awaitExit()
 	e.expectNoCall(t)
 	if ids := owedIDs(t, dir); ids != nil {
-		t.Errorf("still owed: %v", ids)
+		t.Errorf("messages left in the journal: %v", ids)
 	}
 }
 
-// Attempts before a crash count: a message that brings the process down each time must not come for ever.
+// Attempts before a crash count: a message that crashes the process each time must not be sent forever.
 func TestAttemptsBeforeCrashCount(t *testing.T) {
 	p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
 	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
@@ -185,8 +185,8 @@
 	e.expectNoCall(t)
 }
 
-// What was not sent, or refused, before a crash is sent after it, an unsafe message too; what ran out of time
-// meanwhile is returned, and a notice that nobody confirmed is sent again.
+// A message that was rejected or not sent before a crash is sent after it, even an unsafe one. A message whose deadline
+// passed meanwhile is returned, and an unconfirmed notice is sent again.
 func TestCrashWithoutCall(t *testing.T) {
 	p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
 	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
@@ -201,7 +201,7 @@
 	if got := c.do("MSG.PUT", "0", "short", "c=unsafe,d=600,dest=2", "x"); got != "+OK" {
 		t.Fatalf("got %q", got)
 	}
-	over := time.Now().Add(600 * time.Millisecond)
+	expiredAt := time.Now().Add(600 * time.Millisecond)
 	for stop := time.Now().Add(testTimeout); ; {
 		b, err := os.ReadFile(filepath.Join(dir, journalFileName))
 		if err != nil {
@@ -211,12 +211,12 @@
 			break
 		}
 		if time.Now().After(stop) {
-			t.Fatal("no outcome in the journal")
+			t.Fatal("timed out waiting for the outcomes in the journal")
 		}
 	}
-	c.put("unsent", "unsafe", "+OK") // waits: the sender has been told to
+	c.put("unsent", "unsafe", "+OK") // waits: the endpoint has asked for it
 	x.kill()
-	time.Sleep(time.Until(over))
+	time.Sleep(time.Until(expiredAt))
 	p.update(func() { p.rejectNotices = false })
 	x = startProcess(t, p, dir, known)
 	got := map[string]bool{}
@@ -241,8 +241,8 @@
 	e.expectNoCall(t)
 }
 
-// A planned restart: clients are served a while, connections are closed between requests, calls under way end and
-// are journalled, and the next start owes nothing.
+// A planned restart: connections of clients are closed between requests, and the call in flight ends and is journaled,
+// so that no message is left for the next start.
 func TestSIGTERMDuringCall(t *testing.T) {
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
@@ -261,7 +261,7 @@
 			in.reply(200)
 			x.awaitExit()
 			if ids := owedIDs(t, dir); ids != nil {
-				t.Errorf("still owed: %v", ids)
+				t.Errorf("messages left in the journal: %v", ids)
 			}
 			if len(p.notices) != 0 {
 				t.Errorf("notice %+v", <-p.notices)
@@ -270,7 +270,7 @@
 	}
 }
 
-// A call that does not end must not keep the program from ending in time; it stays in the journal as open.
+// A call that does not end must not delay the shutdown. Its message stays in the journal as one that may have run.
 func TestSIGTERMWithUnresponsiveEndpoint(t *testing.T) {
 	p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
 	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
@@ -278,14 +278,14 @@
 	x := startProcess(t, p, dir, known)
 	dialClient(t, x.addr).put("a", "unsafe", "+OK")
 	await(t, e.calls, "call")
-	at := time.Now()
+	terminatedAt := time.Now()
 	x.terminate()
 	x.awaitExit()
-	if d := time.Since(at); d > shutdownLoopTimeout+2*time.Second {
+	if d := time.Since(terminatedAt); d > shutdownLoopTimeout+2*time.Second {
 		t.Errorf("ended after %v", d)
 	}
 	if ids := owedIDs(t, dir); len(ids) != 1 {
-		t.Errorf("owed: %v", ids)
+		t.Errorf("messages in the journal: %v, want 1", ids)
 	}
 	x = startProcess(t, p, dir, known)
 	if n := await(t, p.notices, "notice"); n != (Notice{ID: "a", State: "failed"}) {
@@ -294,7 +294,8 @@
 	x.kill()
 }
 
-// The platform moves discovery: list and notices follow to the address in the file, and the program goes on.
+// After SIGHUP the list and the notices use the address of discovery in the configuration file, and the program goes
+// on.
 func TestSIGHUPMovesDiscovery(t *testing.T) {
 	p, q, e, dir := newTestPlatform(t), newTestPlatform(t), newTestEndpoint(t), t.TempDir()
 	known := discovery.List{Generation: 7, Reset: true, Instances: instancesOf(e)}
@@ -302,7 +303,7 @@
 	x := startProcess(t, p, dir, known)
 	awaitListRequestFrom(t, p, 7)
 	moved := newTestEndpoint(t)
-	q.list = discovery.List{Generation: 3, Reset: true, Instances: instancesOf(moved)} // versions of its own
+	q.list = discovery.List{Generation: 3, Reset: true, Instances: instancesOf(moved)} // generations of its own
 	if err := os.WriteFile(x.configPath, configText(q, known), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -315,7 +316,7 @@
 		t.Errorf("notice %+v", n)
 	}
 	if len(p.notices) != 0 {
-		t.Errorf("the old address got %+v", <-p.notices)
+		t.Errorf("old address got %+v", <-p.notices)
 	}
 	x.terminate()
 	x.awaitExit()
--- a/internal/node/replay.go
+++ b/internal/node/replay.go
@@ -1,20 +1,20 @@
 package node
 
-// What a start finds in the journal.
+// Resuming from the journal at a start without a handover.
 
 import (
 	"crossdeal/logic"
 )
 
-// resumeFromJournal hands the module what the journal holds, with what became of it so far. At a restart, also one with nothing
-// in its journal, what changed meanwhile is not in the list of the configuration; where an agent has the list, nor is it
-// at any other start.
+// resumeFromJournal passes the messages of the journal to the decision logic with the outcomes of their attempts so
+// far, and loads the initial endpoint list. At a restart, even with an empty journal, the configured list lacks the
+// changes since it was written, so the list counts as stale. Where an agent has the list this holds at every start.
 func (n *Node) resumeFromJournal() {
-	known, listed := n.loadInitialList()
+	generation, listed := n.loadInitialList()
 	if listed {
 		n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListCached, Entries: n.directory.Entries(), Stale: n.restarted || n.cfg.Deployment.Settings.ListPushed})
 	}
-	n.watcher.SetInitialState(known, n.restarted)
+	n.watcher.SetInitialState(generation, n.restarted)
 	for _, id := range n.journal.DisabledEndpoints() {
 		n.nextEvents = append(n.nextEvents, logic.Ban{Endpoint: n.directory.AssignID(id)})
 	}
@@ -24,14 +24,14 @@
 			n.notices.add(*e.EndNotice)
 			continue
 		}
-		if _, ok := n.cfg.ClassIndexes[e.Class]; !ok { // whether it may be repeated, and until when, is not known
+		if _, ok := n.cfg.ClassIndexes[e.Class]; !ok { // it is unknown whether it may be repeated, and until when
 			n.log.Warn("a message of a class that the settings do not name", "id", e.ID, "class", e.Class)
-			x := Notice{ID: e.ID, State: "returned"}
+			notice := Notice{ID: e.ID, State: "returned"}
 			if e.MayHaveRun || e.MaybeWritten {
-				x.State = "failed"
+				notice.State = "failed"
 			}
-			n.pendingRecords = append(n.pendingRecords, record{Op: opEndWithNotice, ID: e.ID, Notice: &x})
-			n.notices.add(x)
+			n.pendingRecords = append(n.pendingRecords, record{Op: opEndWithNotice, ID: e.ID, Notice: &notice})
+			n.notices.add(notice)
 			continue
 		}
 		n.held[e.ID] = &heldMessage{message: &e.Message, attempts: e.Attempts}
@@ -41,12 +41,12 @@
 		if c.Prior.MayHaveRun {
 			c.Prior.SinceFirstSend, c.Prior.Zone = logic.Micros(max(now-e.FirstMayHaveRunAt, 0)), e.FirstZone
 		}
-		if e.MaybeWritten || e.Connecting { // whoever reads the journal next must not take its outcome for a later one's
+		if e.MaybeWritten || e.Connecting { // ends this attempt: a replay must not take its outcome for a later one's
 			n.pendingRecords = append(n.pendingRecords, record{Op: opOutcome, ID: e.ID, MayHaveRun: e.MaybeWritten})
 		}
 		n.nextEvents = append(n.nextEvents, c)
 	}
-	if told := n.notices.pending(); len(n.held)+told < len(n.journal.Entries()) {
-		n.guard.recordViolation(ruleStart, "entries", len(n.journal.Entries()), "held", len(n.held), "ends", told)
+	if queuedNotices := n.notices.pending(); len(n.held)+queuedNotices < len(n.journal.Entries()) {
+		n.guard.recordViolation(ruleStart, "entries", len(n.journal.Entries()), "held", len(n.held), "ends", queuedNotices)
 	}
 }
--- a/internal/node/restart_time_test.go
+++ b/internal/node/restart_time_test.go
@@ -12,17 +12,17 @@
 	"crossdeal/internal/discovery"
 )
 
-// Of the processes that are restarted nine in ten have to be ready within 10 s. A machine that restarts may leave each a
-// quarter of a core: that is what a start may use of the processor.
+// 90% of restarted processes have to be ready within 10 s. On a machine that restarts, a process may get a quarter of a
+// core, which bounds the processor time of a start.
 const (
 	maxReadyTime    = 10 * time.Second
 	maxReadyCPUTime = maxReadyTime / 4
 )
 
-// readyTime is what a start took until PING was answered.
+// readyTime is the time of a start until PING is answered.
 type readyTime struct{ wall, cpu time.Duration }
 
-// startUntilReady starts the program as the platform does.
+// startUntilReady starts the program as the platform does and waits until PING is answered.
 func startUntilReady(t *testing.T, p *testPlatform, dir string, known discovery.List) (*process, readyTime) {
 	t.Helper()
 	path, err := buildProgram()
@@ -30,15 +30,15 @@
 		t.Fatal(err)
 	}
 	text := strings.Replace(string(configText(p, known)), `"disk_mb":3`, `"disk_mb":128`, 1)
-	at := time.Now()
+	startedAt := time.Now()
 	x := startProcessWithConfig(t, p, dir, []byte(text), "127.0.0.1:0", exec.Command(path))
 	if got := dialClient(t, x.addr).do("PING"); got != "+PONG" {
 		t.Fatalf("got %q", got)
 	}
-	return x, readyTime{time.Since(at), cpuTime(t, x.cmd.Process.Pid)}
+	return x, readyTime{time.Since(startedAt), cpuTime(t, x.cmd.Process.Pid)}
 }
 
-// cpuTime is the processor time of a process.
+// cpuTime returns the processor time that a process has used.
 func cpuTime(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -47,7 +47,7 @@
 	}
 	_, rest, _ := strings.Cut(string(text), ") ")
 	var ticks int
-	for _, f := range strings.Fields(rest)[11:13] { // in user and in system mode
+	for _, f := range strings.Fields(rest)[11:13] { // user and system time
 		n, err := strconv.Atoi(f)
 		if err != nil {
 			t.Fatal(err)
@@ -57,7 +57,7 @@
 	return time.Duration(ticks) * 10 * time.Millisecond
 }
 
-// fillJournal writes messages that wait until the file is so long, and returns how many.
+// fillJournal writes waiting messages to a journal until it has about that many bytes, and returns their number.
 func fillJournal(t *testing.T, dir string, bytes int64, dests int) (count int) {
 	t.Helper()
 	j, err := OpenJournal(dir, 0)
@@ -65,9 +65,9 @@
 		t.Fatal(err)
 	}
 	defer j.Close()
-	body, due := make([]byte, 256), time.Now().Add(time.Hour).UnixMicro()
+	body, deadline := make([]byte, 256), time.Now().Add(time.Hour).UnixMicro()
 	for j.size < bytes-1<<10 {
-		m := Message{ID: fmt.Sprintf("%016x", count), Class: "safe", Destination: int64(count % dests), Deadline: due, Body: body}
+		m := Message{ID: fmt.Sprintf("%016x", count), Class: "safe", Destination: int64(count % dests), Deadline: deadline, Body: body}
 		if err := j.Append([]record{{Op: opAccept, Entry: &Entry{Message: m}}}); err != nil {
 			t.Fatal(err)
 		}
@@ -76,7 +76,7 @@
 	return count
 }
 
-// manyInstances is a list of endpoints that nobody calls: a port of this machine that nobody listens on.
+// manyInstances returns a list of n endpoints, at a port without a listener. No message goes to them.
 func manyInstances(n int) []discovery.Instance {
 	list := make([]discovery.Instance, n)
 	for i := range list {
@@ -85,8 +85,8 @@
 	return list
 }
 
-// The time to ready of a start after SIGKILL, by the size of the journal and of the configuration's list. What it takes of the processor is bounded at moderate sizes; the real time says how busy this machine
-// is, too.
+// Logs the time to ready after SIGKILL for several sizes of the journal and the configured list. The processor time is
+// bounded at moderate sizes; the wall time also depends on the load of this machine.
 func TestTimeToReadyAfterRestart(t *testing.T) {
 	t.Log("journal  messages  list entries  ready      processor")
 	row := func(journal int64, count, entries int, r readyTime) {
@@ -109,7 +109,7 @@
 		again, r := startUntilReady(t, p, dir, known)
 		row(x.journal, count, x.entries, r)
 		if x.bound && r.cpu > maxReadyCPUTime {
-			t.Errorf("%v of the processor, %v at most", r.cpu, maxReadyCPUTime)
+			t.Errorf("%v of processor time, want at most %v", r.cpu, maxReadyCPUTime)
 		}
 		again.kill()
 	}
--- a/internal/node/saved_list_test.go
+++ b/internal/node/saved_list_test.go
@@ -17,7 +17,7 @@
 	"crossdeal/internal/discovery"
 )
 
-// logBuffer gathers a log.
+// logBuffer collects log lines.
 type logBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
@@ -35,7 +35,7 @@
 	return strings.Count(l.buffer.String(), s)
 }
 
-// startNodeWithLog starts a sender whose log is kept.
+// startNodeWithLog starts a sender and collects its log.
 func startNodeWithLog(t *testing.T, cfg *Config, dir string) (*testNode, *logBuffer) {
 	t.Helper()
 	cfg.StateDir = dir
@@ -45,11 +45,11 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	x := &testNode{Node: n, stop: stop, done: make(chan error, 1)}
-	go func() { x.done <- n.Run(ctx) }()
-	x.addr = await(t, n.ready, "ready sender").String()
+	running := &testNode{Node: n, stop: stop, done: make(chan error, 1)}
+	go func() { running.done <- n.Run(ctx) }()
+	running.addr = await(t, n.ready, "ready sender").String()
 	t.Cleanup(stop)
-	return x, log
+	return running, log
 }
 
 func parseTestConfig(t *testing.T, p *testPlatform, known discovery.List) *Config {
@@ -61,26 +61,27 @@
 	return cfg
 }
 
-// clearListRequests empties what the platform has noted of calls for the list.
+// clearListRequests drops the requests for the list recorded so far.
 func (p *testPlatform) clearListRequests() {
 	for len(p.listRequests) > 0 {
 		<-p.listRequests
 	}
 }
 
-// readSavedList reads a folder's list as the next process would; the store there is the sender's.
+// readSavedList reads the saved list of a folder as the next process would. It reads a copy, since the sender uses the
+// file.
 func readSavedList(t *testing.T, dir string) (discovery.SavedInfo, map[string]discovery.Instance, error) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(dir, "list"))
 	if err != nil {
 		return discovery.SavedInfo{}, nil, err
 	}
-	at := t.TempDir()
-	if err := os.WriteFile(filepath.Join(at, "list"), text, 0o600); err != nil {
+	copyDir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(copyDir, "list"), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	list := map[string]discovery.Instance{}
-	saved, err := discovery.OpenStore(at, 1<<30, slog.New(slog.DiscardHandler)).Load(func(rows []discovery.Instance) error {
+	saved, err := discovery.OpenStore(copyDir, 1<<30, slog.New(slog.DiscardHandler)).Load(func(rows []discovery.Instance) error {
 		for _, in := range rows {
 			if list[in.ID] = in; in.Lifecycle == "removed" {
 				delete(list, in.ID)
@@ -91,15 +92,15 @@
 	return saved, list, err
 }
 
-// A process that is killed has saved what it was last told: the next one begins there, though the configuration's list
-// is old, discovery does not answer, and nothing was ever said of an end.
+// A killed process has saved the last list that it received: the next process starts from it, although the configured
+// list is old and discovery does not respond.
 func TestSavedListSurvivesCrash(t *testing.T) {
 	p, old, e, dir := newTestPlatform(t), newTestEndpoint(t), newTestEndpoint(t), t.TempDir()
 	known := discovery.List{Generation: 2, Reset: true, Instances: instancesOf(old)}
 	p.list = discovery.List{Generation: 5, Reset: true, Instances: instancesOf(old, old)}
 	x := startProcess(t, p, dir, known)
 	awaitSavedList(t, dir, 5)
-	changed := instancesOf(e, e)[:1] // s-0 has another address, s-1 is gone
+	changed := instancesOf(e, e)[:1] // s-0 has another address, s-1 is removed
 	changed = append(changed, discovery.Instance{ID: "s-1", Destination: 1, Lifecycle: "removed"})
 	p.update(func() { p.list = discovery.List{Generation: 6, Instances: changed} })
 	awaitSavedList(t, dir, 6)
@@ -107,25 +108,25 @@
 	p.update(func() { p.unresponsive = true })
 	p.clearListRequests()
 	x = startProcess(t, p, dir, known)
-	if q := await(t, p.listRequests, "call"); !strings.HasPrefix(q, "from=6&") {
-		t.Errorf("asked %q, want what is newer than generation 6", q)
+	if q := await(t, p.listRequests, "list request"); !strings.HasPrefix(q, "from=6&") {
+		t.Errorf("requested %q, want changes since generation 6", q)
 	}
 	dialClient(t, x.addr).put("a", "safe", "+OK")
-	await(t, e.calls, "call to what the saved list has").reply(200)
+	await(t, e.calls, "call to an endpoint of the saved list").reply(200)
 	old.expectNoCall(t)
 	x.kill()
 }
 
-// A copy that is torn or bad costs what can't be read and a line in the log: the sender begins with what stands before,
-// or with the configuration's list, asks for what came after, and saves a good list again.
+// With a torn or corrupt saved list the sender logs a line and starts with the part before the damage, or with the
+// configured list. It then requests the changes since, and saves a valid list again.
 func TestCorruptSavedListIsReplaced(t *testing.T) {
 	e, old := newTestEndpoint(t), newTestEndpoint(t)
 	const unused, cut = `"the saved list is not used"`, `"saved list: cut behind the last whole update"`
 	for name, x := range map[string]struct {
-		spoil func(text []byte, snapshot int) []byte
-		known discovery.List
-		asked string // begin of the first call's query
-		line  string
+		corrupt func(text []byte, snapshot int) []byte
+		known   discovery.List
+		query   string // prefix of the first request's query
+		line    string
 	}{
 		"torn update":                 {func(b []byte, _ int) []byte { return b[:len(b)-1] }, discovery.List{Generation: 3, Reset: true, Instances: instancesOf(old)}, "from=5&", cut},
 		"bad update":                  {func(b []byte, n int) []byte { b[n+20] ^= 1; return b }, discovery.List{Generation: 3, Reset: true, Instances: instancesOf(old)}, "from=5&", cut},
@@ -155,40 +156,40 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := os.WriteFile(path, x.spoil(text, int(snapshot.Size())), 0o600); err != nil {
+			if err := os.WriteFile(path, x.corrupt(text, int(snapshot.Size())), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			p.list = discovery.List{Generation: 9, Reset: true, Instances: instancesOf(e)}
 			n, log := startNodeWithLog(t, cfg, dir)
-			if q := await(t, p.listRequests, "call"); !strings.HasPrefix(q, x.asked) || x.asked == "" && q != "" {
-				t.Errorf("asked %q, want %q", q, x.asked)
+			if q := await(t, p.listRequests, "list request"); !strings.HasPrefix(q, x.query) || x.query == "" && q != "" {
+				t.Errorf("requested %q, want %q", q, x.query)
 			}
 			if got := log.count(x.line); got != 1 {
-				t.Errorf("%d lines in the log that say %s", got, x.line)
+				t.Errorf("%d log lines with %s, want 1", got, x.line)
 			}
 			awaitSavedList(t, dir, 9)
 			stopNode(t, n)
 			if saved, list, err := readSavedList(t, dir); err != nil || saved.Origin != cfg.DiscoveryAddr || len(list) != 1 || list["s-0"] != instancesOf(e)[0] {
-				t.Errorf("saved then: %+v, %v, %v", saved, list, err)
+				t.Errorf("saved list afterwards: %+v, %v, %v", saved, list, err)
 			}
 		})
 	}
 }
 
-// A copy that is older than the configuration's list is not used, and no update is appended to it: it would make a list
-// that never was.
+// A saved list that is older than the configured one is not used, and no update is appended to it: the result would be
+// a list that never existed.
 func TestOlderSavedListIsNotUsed(t *testing.T) {
 	p, e, dir := newTestPlatform(t), newTestEndpoint(t), t.TempDir()
 	known := discovery.List{Generation: 7, Reset: true, Instances: instancesOf(e, e)}
 	cfg := parseTestConfig(t, p, known)
-	stale := instancesOf(e, e, e, e) // two of them were taken off since
+	stale := instancesOf(e, e, e, e) // two of them were removed since
 	if err := discovery.OpenStore(dir, 1<<20, slog.New(slog.DiscardHandler)).Replace(cfg.DiscoveryAddr, 5, slices.Values(stale)); err != nil {
 		t.Fatal(err)
 	}
 	p.unresponsive = true
 	n, _ := startNodeWithLog(t, cfg, dir)
-	if q := await(t, p.listRequests, "call"); !strings.HasPrefix(q, "from=7&") {
-		t.Errorf("asked %q, want what is newer than generation 7", q)
+	if q := await(t, p.listRequests, "list request"); !strings.HasPrefix(q, "from=7&") {
+		t.Errorf("requested %q, want changes since generation 7", q)
 	}
 	more := instancesOf(e, e, e, e, e)[4:]
 	p.update(func() { p.unresponsive, p.list = false, discovery.List{Generation: 8, Instances: more} })
@@ -196,19 +197,19 @@
 	stopNode(t, n)
 	want := map[string]discovery.Instance{"s-0": stale[0], "s-1": stale[1], "s-4": more[0]}
 	if _, list, err := readSavedList(t, dir); err != nil || fmt.Sprint(list) != fmt.Sprint(want) {
-		t.Errorf("saved %v, %v", list, err)
+		t.Errorf("saved list %v, %v", list, err)
 	}
 }
 
-// The folder never holds more than the platform allows, whatever becomes of the list and of messages. A list that has no
-// room is not kept, which is said once, and the sender works on.
+// The state folder stays within the disk limit through all changes of the list and of messages. A list that does not
+// fit is not saved, which is logged once, and the sender goes on.
 func TestStateFolderStaysWithinDiskLimit(t *testing.T) {
 	const steps = 40
 	for name, x := range map[string]struct {
 		disk    float64 // MB
 		entries int
 		kept    bool
-		lines   int // that say that it is not
+		lines   int // log lines that the list is not saved
 	}{
 		"room":             {0.6, 300, true, 0},
 		"no room for it":   {0.6, 4000, false, 1},
@@ -237,14 +238,14 @@
 					t.Fatalf("%s: %d bytes of %d", when, sum, limit)
 				}
 			}
-			has := func(generation int) { // waits until it has that and asks for the next
+			awaitGeneration := func(generation int) { // waits for a request for changes since generation
 				t.Helper()
 				for q := ""; !strings.HasPrefix(q, fmt.Sprintf("from=%d&", generation)); {
-					q = await(t, p.listRequests, "call")
+					q = await(t, p.listRequests, "list request")
 					check("after " + q)
 				}
 			}
-			has(1)
+			awaitGeneration(1)
 			c := dialClient(t, n.addr)
 			body := strings.Repeat("b", 6000)
 			for step := 1; step <= steps; step++ {
@@ -268,15 +269,15 @@
 					await(t, e.calls, "call").reply(200)
 					check(fmt.Sprint("call of ", id))
 				}
-				has(1 + step)
+				awaitGeneration(1 + step)
 			}
 			last := int64(1 + steps)
 			if x.kept {
 				awaitSavedList(t, dir, last)
 			} else if _, _, err := readSavedList(t, dir); !errors.Is(err, fs.ErrNotExist) {
-				t.Errorf("a list that has no room is saved, or %v", err)
+				t.Errorf("list that does not fit is saved, or %v", err)
 			}
-			if x.lines > 0 { // it finds room once it is shorter
+			if x.lines > 0 { // the list fits once it is shorter
 				var rows []discovery.Instance
 				for i := 300; i < x.entries; i++ {
 					rows = append(rows, discovery.Instance{ID: fmt.Sprint("x-", i), Lifecycle: "removed"})
@@ -289,15 +290,15 @@
 			}
 			stopNode(t, n)
 			check("at the end")
-			if said := log.count(`"the list is not kept for the next start"`); said != x.lines {
-				t.Errorf("said %d times that the list is not kept", said)
+			if logged := log.count(`"the list is not kept for the next start"`); logged != x.lines {
+				t.Errorf("%d log lines that the list is not kept", logged)
 			}
 			if saved, list, err := readSavedList(t, dir); x.kept || x.lines > 0 {
 				if err != nil || saved.Generation != last || fmt.Sprint(list) != fmt.Sprint(want) {
-					t.Errorf("saved %+v with %d entries of %d, %v", saved, len(list), len(want), err)
+					t.Errorf("saved list %+v with %d entries, want %d, %v", saved, len(list), len(want), err)
 				}
 			} else if !errors.Is(err, fs.ErrNotExist) {
-				t.Errorf("saved %+v with %d entries, %v", saved, len(list), err)
+				t.Errorf("saved list %+v with %d entries, want none, %v", saved, len(list), err)
 			}
 		})
 	}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// serveClientsOnly serves clients without a loop behind them: PING is enough to see who is answered.
+// serveClientsOnly serves clients without a loop; PING shows whether a client is answered.
 func serveClientsOnly(t *testing.T) (*clients, net.Listener) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -24,7 +24,7 @@
 	return served, ln
 }
 
-// deadlineContext is a context that tells a deadline and does not end by it.
+// deadlineContext is a context that reports a deadline and is not cancelled at it.
 type deadlineContext struct {
 	context.Context
 	deadline time.Time
@@ -32,8 +32,8 @@
 
 func (u deadlineContext) Deadline() (time.Time, bool) { return u.deadline, true }
 
-// A client that sends on an open connection for as long as it is open is answered, and does not outlast the shutdown:
-// at the process's end no request is left that was read and has no answer.
+// A client that keeps sending requests is answered and does not delay the shutdown. At its end no request is left that
+// was read and not answered.
 func TestShutdownEndsDespiteClientThatKeepsSending(t *testing.T) {
 	served, ln := serveClientsOnly(t)
 	conn, err := net.Dial("tcp", ln.Addr().String())
@@ -42,7 +42,7 @@
 	}
 	defer conn.Close()
 	const request, answer = "*1\r\n$4\r\nPING\r\n", "+PONG\r\n"
-	go func() { // always further ahead than the sender reads
+	go func() { // always ahead of what the sender reads
 		for {
 			if _, err := io.WriteString(conn, strings.Repeat(request, 100)); err != nil {
 				return
@@ -73,8 +73,8 @@
 	await(t, ended, "end of the connection")
 }
 
-// A client that has only just connected when the sender stops is given a moment for its first request, which would
-// fail with the connection; one that sends nothing does not hold the shutdown up.
+// A client that has just connected when the sender stops has firstRequestGrace for its first request, which would fail
+// if the connection were closed. A client that sends nothing does not delay the shutdown.
 func TestShutdownAnswersFirstRequestOfNewClient(t *testing.T) {
 	served, ln := serveClientsOnly(t)
 	c, silent := dialClient(t, ln.Addr().String()), dialClient(t, ln.Addr().String())
@@ -86,11 +86,11 @@
 			break
 		}
 		if time.Now().After(stop) {
-			t.Fatal("not accepted")
+			t.Fatal("timed out waiting for two connections")
 		}
 	}
 	served.mu.Lock()
-	for conn, x := range served.conns { // one has only just come, the other's moment is over
+	for conn, x := range served.conns { // one has just connected, the grace of the other is over
 		x.idleSince = time.Now().Add(-firstRequestGrace)
 		if conn.RemoteAddr().String() == c.conn.LocalAddr().String() {
 			x.idleSince = time.Now().Add(testTimeout)
@@ -102,13 +102,13 @@
 	for !served.isClosing() {
 	}
 	if got := silent.readLine(); got != "" {
-		t.Errorf("a silent client got %q", got)
+		t.Errorf("silent client got %q", got)
 	}
 	if got := c.do("PING"); got != "+PONG" {
 		t.Errorf("first request: %q", got)
 	}
 	if got := c.readLine(); got != "" {
-		t.Errorf("the connection goes on with %q", got)
+		t.Errorf("connection is not closed: got %q", got)
 	}
 	await(t, done, "end of the shutdown")
 }
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -1,6 +1,7 @@
 package node
 
-// The successor's side of a handover.
+// The successor's side of a handover: requesting the state from its owner and resuming from it. See handover.go for the
+// protocol.
 
 import (
 	"context"
@@ -20,42 +21,43 @@
 	"crossdeal/logic"
 )
 
-// takeover is what a process has been handed: the state, and what its descriptors became.
+// takeover is what a process has received: the state, and its descriptors as connections.
 type takeover struct {
 	stateTransfer
 	names       []nameRow
 	listener    net.Listener
-	conns       []net.Conn // of Calls, Idle and Clients
-	acknowledge func()     // says so to the process before
+	conns       []net.Conn // of Calls, Idle and Clients, in this order; nil where a descriptor was not usable
+	acknowledge func()     // tells the owner that the state has been taken
 }
 
-// resumeCall waits for the answer to a call that was set aside.
+// resumeCall waits for the response to a call that was parked.
 func (n *Node) resumeCall(work context.Context, h *heldMessage, conn *endpointConn) {
-	ctx, stop := context.WithCancelCause(work)
-	h.cancelCall = stop
-	in := h.call
+	ctx, cancel := context.WithCancelCause(work)
+	h.cancelCall = cancel
+	c := h.call
 	go func() {
-		r := n.transport.awaitResponse(ctx, in, conn, in.startedAt.Add(in.timeout))
-		n.events <- replyEvent{in, r, time.Since(in.startedAt)}
+		r := n.transport.awaitResponse(ctx, c, conn, c.startedAt.Add(c.timeout))
+		n.events <- replyEvent{c, r, time.Since(c.startedAt)}
 	}()
 }
 
-// takeOver makes this process the owner of the state: it waits for the lock, or for the owner to hand over.
+// takeOver makes this process the owner of the state: it waits for the lock, or for the owner to hand over. The result
+// is nil if it got the lock, and the journal is replayed then.
 func (n *Node) takeOver(ctx context.Context) (*takeover, error) {
-	tooMuch := false // then only the owner's end helps: each request would keep it from its work
-	for tries := 0; ; tries++ {
-		l, err := n.requestState(handoverRequestRows)
-		if errors.Is(err, errHandoverFormat) && !tooMuch {
-			l, err = n.requestState(handoverRequestText)
-			tooMuch = errors.Is(err, errStateTooLarge)
+	tooLarge := false // the state does not fit in one text: wait for the owner to end, since each request stalls it
+	for attempts := 0; ; attempts++ {
+		t, err := n.requestState(handoverRequestRows)
+		if errors.Is(err, errHandoverFormat) && !tooLarge {
+			t, err = n.requestState(handoverRequestText)
+			tooLarge = errors.Is(err, errStateTooLarge)
 		}
 		if err == nil {
-			return l, nil
+			return t, nil
 		}
 		if errors.Is(err, errTransferBroken) {
 			n.log.Warn("takeover", "err", err)
 		}
-		if tries == 0 {
+		if attempts == 0 {
 			n.log.Info("waiting for the owner of the state", "why", err)
 		}
 		if err := n.acquireState(); !errors.Is(err, errStateLocked) {
@@ -69,9 +71,9 @@
 	}
 }
 
-// requestState asks the owner of the state for all that it has, with a word for the form. What is wrong shows before it is taken, so that the owner
-// goes on.
-func (n *Node) requestState(word string) (_ *takeover, err error) {
+// requestState asks the owner for the whole state in a format. All of it is checked before it is acknowledged, so that
+// the owner goes on if anything is wrong.
+func (n *Node) requestState(format string) (_ *takeover, err error) {
 	path, d, err := handoverSocketPath(n.cfg.StateDir)
 	if err != nil {
 		return nil, err
@@ -86,35 +88,35 @@
 		admin = n.admin.address().String()
 	}
 	var files []*os.File
-	l, begun := &takeover{}, false
+	t, started := &takeover{}, false
 	defer func() {
 		if err == nil {
 			return
 		}
-		if begun {
+		if started {
 			err = fmt.Errorf("%w: %w", errTransferBroken, err)
 		}
 		conn.Close()
 		for _, f := range files {
 			f.Close()
 		}
-		for _, c := range l.conns {
+		for _, c := range t.conns {
 			if c != nil {
 				c.Close()
 			}
 		}
-		if l.listener != nil {
-			l.listener.Close()
+		if t.listener != nil {
+			t.listener.Close()
 		}
 	}()
-	if _, err := fmt.Fprintf(conn, "%s %s\n", word, admin); err != nil {
+	if _, err := fmt.Fprintf(conn, "%s %s\n", format, admin); err != nil {
 		return nil, err
 	}
 	var head [8]byte
-	if _, err := io.ReadFull(conn, head[:]); err != nil { // its death ends the wait
+	if _, err := io.ReadFull(conn, head[:]); err != nil { // the owner's death ends the wait
 		return nil, fmt.Errorf("%w: %w", errHandoverFormat, err)
 	}
-	begun = true
+	started = true
 	count, size := int(binary.LittleEndian.Uint32(head[:4])), int(binary.LittleEndian.Uint32(head[4:]))
 	for len(files) < count {
 		more, err := receiveDescriptors(conn)
@@ -130,44 +132,44 @@
 	if _, err := io.ReadFull(conn, text); err != nil {
 		return nil, err
 	}
-	if err := json.Unmarshal(text, &l.stateTransfer); err != nil {
+	if err := json.Unmarshal(text, &t.stateTransfer); err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
-	if len(files) != 2+len(l.Calls)+len(l.Idle)+len(l.Clients) {
-		return nil, fmt.Errorf("a state with %d descriptors", len(files))
+	if len(files) != 2+len(t.Calls)+len(t.Idle)+len(t.Clients) {
+		return nil, fmt.Errorf("state with %d descriptors, which its tables do not match", len(files))
 	}
-	if word == handoverRequestRows {
-		n.sender, err = logic.ResumeFromRows(n.cfg.Deployment.Settings, n.cfg.Seed, l.Module, l.readRows(conn))
+	if format == handoverRequestRows {
+		n.sender, err = logic.ResumeFromRows(n.cfg.Deployment.Settings, n.cfg.Seed, t.Module, t.readRows(conn))
 	} else {
-		n.sender, err = logic.Resume(n.cfg.Deployment.Settings, n.cfg.Seed, l.Module)
+		n.sender, err = logic.Resume(n.cfg.Deployment.Settings, n.cfg.Seed, t.Module)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
-	if l.listener, err = net.FileListener(files[1]); err != nil {
+	if t.listener, err = net.FileListener(files[1]); err != nil {
 		return nil, err
 	}
 	files[1].Close()
 	for _, f := range files[2:] {
 		c, err := net.FileConn(f)
 		f.Close()
-		if err != nil { // its peer has gone, say
+		if err != nil { // for example because its peer has gone
 			c = nil
 		}
-		l.conns = append(l.conns, c)
+		t.conns = append(t.conns, c)
 	}
 	if n.journal, err = n.openJournal(); err != nil {
 		return nil, err
 	}
 	n.lockFile = files[0]
-	l.acknowledge = func() {
-		io.WriteString(conn, handoverAck) // an owner that has gone meanwhile need not know
+	t.acknowledge = func() {
+		io.WriteString(conn, handoverAck) // an owner that has ended meanwhile need not know
 		conn.Close()
 	}
-	return l, nil
+	return t, nil
 }
 
-// receiveDescriptors takes one message with descriptors.
+// receiveDescriptors receives one message with descriptors.
 func receiveDescriptors(conn *net.UnixConn) ([]*os.File, error) {
 	oob := make([]byte, syscall.CmsgSpace(4*maxDescriptorsPerMessage))
 	var b [1]byte
@@ -195,34 +197,34 @@
 	return files, nil
 }
 
-// adopt goes on with what another process has handed over.
-func (n *Node) adopt(work context.Context, l *takeover) {
-	n.clock.ContinueFrom(l.At)
-	n.startedAt = n.clock.Time(l.At).Add(-toDuration(l.Clock))
-	for _, x := range l.names {
+// adopt resumes the messages, calls and connections that another process has handed over.
+func (n *Node) adopt(work context.Context, t *takeover) {
+	n.clock.ContinueFrom(t.At)
+	n.startedAt = n.clock.Time(t.At).Add(-toDuration(t.Clock))
+	for _, x := range t.names {
 		n.directory.Adopt(x.name, x.id, x.target)
 	}
-	l.names, l.Module = nil, logic.Saved{}
-	for name, id := range l.IDs {
-		t := l.Targets[id]
-		n.directory.Adopt(name, id, discovery.Target{Address: t.Addr, ZoneIndex: t.Zone, Destination: t.Dest, KindIndex: t.Kind,
-			Lifecycle: t.Lifecycle, Weight: t.Weight})
+	t.names, t.Module = nil, logic.Saved{}
+	for name, id := range t.IDs {
+		target := t.Targets[id]
+		n.directory.Adopt(name, id, discovery.Target{Address: target.Addr, ZoneIndex: target.Zone, Destination: target.Dest, KindIndex: target.Kind,
+			Lifecycle: target.Lifecycle, Weight: target.Weight})
 	}
 	known := int64(-1)
-	if l.Discovery == n.watcher.BaseURL() && l.Generation != 0 {
-		known, n.listGeneration = l.Generation, l.Generation
+	if t.Discovery == n.watcher.BaseURL() && t.Generation != 0 {
+		known, n.listGeneration = t.Generation, t.Generation
 	}
-	n.matchSavedList(l.Discovery, l.Generation)
-	n.watcher.SetInitialState(known, true) // this is no first start: the watch goes on at once
-	for id, t := range l.Recent {
-		n.recentIDs[id] = n.clock.Time(t)
+	n.matchSavedList(t.Discovery, t.Generation)
+	n.watcher.SetInitialState(known, true) // not a first start: the watch begins without the random delay of one
+	for id, until := range t.Recent {
+		n.recentIDs[id] = n.clock.Time(until)
 	}
 	for _, e := range n.journal.Entries() {
 		if e.EndNotice != nil {
 			n.notices.add(*e.EndNotice)
 		}
 	}
-	for _, x := range l.Held {
+	for _, x := range t.Held {
 		h := &heldMessage{message: &Message{ID: x.ID, Deadline: x.Deadline}, attempts: x.Tries, ended: x.Over}
 		if e := n.journal.Entry(x.ID); e != nil && e.EndNotice == nil {
 			h.message = &e.Message
@@ -232,10 +234,10 @@
 			n.openMessages++
 		}
 	}
-	conns := l.conns
-	for _, x := range l.Calls {
+	conns := t.conns
+	for _, x := range t.Calls {
 		h := n.held[x.ID]
-		if h == nil { // a state that names it as out has it as held too
+		if h == nil { // does not happen in a valid state: a message with a call is in Held too
 			if conns[0] != nil {
 				conns[0].Close()
 			}
@@ -254,7 +256,7 @@
 		}
 		conns = conns[1:]
 	}
-	for _, x := range l.Idle {
+	for _, x := range t.Idle {
 		if conn := conns[0]; conn != nil {
 			kept := newEndpointConn(conn, n.target(x.Endpoint).Address)
 			if !n.transport.putIdle(x.Endpoint, kept) {
@@ -264,10 +266,10 @@
 		}
 		conns = conns[1:]
 	}
-	for i, x := range l.Clients {
+	for i, x := range t.Clients {
 		if conns[i] != nil {
 			n.clients.adopt(conns[i], x)
 		}
 	}
-	n.log.Info("taken over", "held", len(n.held), "calls", len(l.Calls), "clients", len(l.Clients), "idle", len(l.Idle))
+	n.log.Info("taken over", "held", len(n.held), "calls", len(t.Calls), "clients", len(t.Clients), "idle", len(t.Idle))
 }
--- a/internal/node/trace.go
+++ b/internal/node/trace.go
@@ -1,5 +1,7 @@
 package node
 
+// Debug tracing of messages.
+
 import (
 	"context"
 	"log/slog"
@@ -8,8 +10,8 @@
 	"crossdeal/logic"
 )
 
-// tracer writes a debug line for each step in the life of a message, by its id: accepted, sent where and on which
-// generation of the list, how each attempt ended, why it was refused. It costs nothing at other levels.
+// tracer logs each event of a message with its id at debug level: that it was accepted, where it was sent and on which
+// generation of the list, how each attempt ended, why it was rejected. It costs next to nothing at other levels.
 type tracer struct {
 	log       *slog.Logger
 	enabled   bool
@@ -26,31 +28,32 @@
 	}
 }
 
-// duplicate is a message that was handed in under an id that is known.
+// duplicate logs a message with an id that is already known.
 func (t *tracer) duplicate(id string) {
 	if t.enabled {
-		t.log.Debug("message repeated", "id", id)
+		t.log.Debug("duplicate message", "id", id)
 	}
 }
 
-// rejected is a message that was refused before the module saw it.
-func (t *tracer) rejected(id string, open, most int) {
+// rejected logs a message that was rejected before the decision logic saw it.
+func (t *tracer) rejected(id string, open, maxOpen int) {
 	if t.enabled {
-		t.log.Debug("message turned away", "id", id, "open", open, "max_open", most)
+		t.log.Debug("message rejected", "id", id, "open", open, "max_open", maxOpen)
 	}
 }
 
-// notAccepted is a message that the module ended in the step in which it came.
+// notAccepted logs a message that the decision logic ended in the step in which it was received, or one that was
+// rejected.
 func (t *tracer) notAccepted(id, answer string) {
 	if t.enabled {
 		t.log.Debug("message not accepted", "id", id, "answer", answer)
 	}
 }
 
-// ended is an accepted message that the module gives up.
-func (t *tracer) ended(x Notice) {
+// ended logs an accepted message that the decision logic ends.
+func (t *tracer) ended(notice Notice) {
 	if t.enabled {
-		t.log.Debug("message ended", "id", x.ID, "state", x.State, "after_ms", x.AfterMS)
+		t.log.Debug("message ended", "id", notice.ID, "state", notice.State, "after_ms", notice.AfterMS)
 	}
 }
 
@@ -61,7 +64,7 @@
 	}
 }
 
-// withheld is an attempt that had connected and was not written.
+// withheld logs an attempt that has connected and is not written.
 func (t *tracer) withheld(c *call) {
 	if t.enabled {
 		t.log.Debug("send withheld", "id", c.id, "attempt", c.attempt, "endpoint", t.directory.Name(c.endpoint))
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -1,6 +1,6 @@
 package node
 
-// What a process hands over to its successor, and its form.
+// The state transfer: what a process hands over to its successor, and the formats of it.
 
 import (
 	"bufio"
@@ -16,24 +16,25 @@
 	"crossdeal/logic"
 )
 
-// stateTransfer is what a process hands to its successor, beside descriptors: the lock, the listener, and then one for each
-// of Calls, Idle and Clients, in order.
+// stateTransfer is what a process hands over to its successor, apart from the descriptors. These are the lock, the
+// listener, and then one for each of Calls, Idle and Clients, in this order. The names of the fields are part of the
+// format.
 type stateTransfer struct {
-	At         int64        // Unix microseconds when it was made ...
-	Clock      logic.Micros // ... and the module's clock then
+	At         int64        // Unix time in microseconds when it was made ...
+	Clock      logic.Micros // ... and the clock of the decision logic at that time
 	Module     logic.Saved
-	Discovery  string // address that Generation is of
+	Discovery  string // base URL of the discovery that Generation belongs to
 	Generation int64
-	IDs        map[string]logic.EndpointID         `json:",omitempty"` // where all is in one text
+	IDs        map[string]logic.EndpointID         `json:",omitempty"` // in the text format
 	Targets    map[logic.EndpointID]transferTarget `json:",omitempty"`
-	Names      int                                 `json:",omitempty"` // where they come as rows: how many
-	Recent     map[string]int64                    // ids that are over, with the ends of their time
+	Names      int                                 `json:",omitempty"` // in the row format: the number of name rows
+	Recent     map[string]int64                    // ids of ended messages, with deadlines in Unix microseconds
 	Held       []transferHeld
 	Calls      []transferCall
 	Idle       []transferIdle
 	Clients    []transferClient
 
-	bytesSent int // bytes sent of it
+	bytesSent int // size of what was sent, for the log
 }
 
 type transferTarget struct {
@@ -47,16 +48,16 @@
 type transferHeld struct {
 	ID       string
 	Tries    int
-	Over     bool  // only its attempt is still out
-	Deadline int64 // of one that is over, which the journal may not have
+	Over     bool  // ended, with its attempt still in flight
+	Deadline int64 // needed for an ended message, which the journal may not have
 }
 
 type transferCall struct {
 	ID       string
 	Attempt  int
 	Endpoint logic.EndpointID
-	At, By   int64  // Unix microseconds of its start, and of its end if nothing comes
-	Got      []byte // of its answer
+	At, By   int64  // Unix time in microseconds of its start and of its timeout
+	Got      []byte // the part of the response that was received
 }
 
 type transferIdle struct {
@@ -69,14 +70,14 @@
 	Proven bool
 }
 
-// nameRow is a name with its number and target, as a row.
+// nameRow is the row of an endpoint: its name, id and target.
 type nameRow struct {
 	name   string
 	id     logic.EndpointID
 	target discovery.Target
 }
 
-const nameRowTag = 'n' // the module's rows begin with other letters
+const nameRowTag = 'n' // first byte of a name row; the decision logic's rows begin with other letters
 
 func (x *nameRow) appendTo(b []byte) []byte {
 	b = append(b, nameRowTag)
@@ -90,43 +91,43 @@
 	return binary.LittleEndian.AppendUint64(b, math.Float64bits(x.target.Weight))
 }
 
-// parseNameRow is the other way round. What follows the fields is a later version's; an earlier one's end with the
-// destination.
+// parseNameRow parses what appendTo writes. It ignores bytes after the fields, which later versions may add. Rows of
+// earlier versions end with the destination.
 func parseNameRow(row []byte) (x nameRow, err error) {
-	b, bad := row[1:], false
-	number := func() uint64 {
+	b, invalid := row[1:], false
+	readUvarint := func() uint64 {
 		v, n := binary.Uvarint(b)
 		if n <= 0 {
-			bad, n = true, 0
+			invalid, n = true, 0
 		}
 		b = b[n:]
 		return v
 	}
-	signed := func() int64 { v := number(); return int64(v>>1) ^ -int64(v&1) }
-	text := func() string {
-		n := number()
+	readVarint := func() int64 { v := readUvarint(); return int64(v>>1) ^ -int64(v&1) }
+	readString := func() string {
+		n := readUvarint()
 		if n > uint64(len(b)) {
-			bad, n = true, 0
+			invalid, n = true, 0
 		}
 		s := string(b[:n])
 		b = b[n:]
 		return s
 	}
-	x.name, x.id = text(), logic.EndpointID(number())
-	x.target = discovery.Target{Address: text(), ZoneIndex: int(signed()), KindIndex: int(signed()), Destination: signed()}
+	x.name, x.id = readString(), logic.EndpointID(readUvarint())
+	x.target = discovery.Target{Address: readString(), ZoneIndex: int(readVarint()), KindIndex: int(readVarint()), Destination: readVarint()}
 	if len(b) > 0 {
-		x.target.Lifecycle = text()
-		if bad = bad || len(b) < 8; !bad {
+		x.target.Lifecycle = readString()
+		if invalid = invalid || len(b) < 8; !invalid {
 			x.target.Weight = math.Float64frombits(binary.LittleEndian.Uint64(b))
 		}
 	}
-	if bad {
-		err = errors.New("a name that makes no sense")
+	if invalid {
+		err = errors.New("malformed name row")
 	}
 	return x, err
 }
 
-// nameCount counts those that have a number.
+// nameCount returns the number of endpoint names that have an id.
 func (n *Node) nameCount() (count int) {
 	for range n.directory.Names() {
 		count++
@@ -134,12 +135,13 @@
 	return count
 }
 
-// writeRows writes the tables: the length of a row and the row, and nought at the end.
+// writeRows writes the tables: for each row its length as an unsigned varint and the row, and a length of 0 at the end.
+// A write error shows when out is flushed.
 func (n *Node) writeRows(out *bufio.Writer) {
-	var head, buf []byte
+	var length, buf []byte
 	write := func(row []byte) bool {
-		head = binary.AppendUvarint(head[:0], uint64(len(row)))
-		out.Write(head)
+		length = binary.AppendUvarint(length[:0], uint64(len(row)))
+		out.Write(length)
 		_, err := out.Write(row)
 		return err == nil
 	}
@@ -159,16 +161,16 @@
 	out.WriteByte(0)
 }
 
-// readRows yields the rows that are the module's, and keeps the names.
-func (l *takeover) readRows(from io.Reader) iter.Seq2[[]byte, error] {
+// readRows yields the rows of the decision logic, and collects the name rows in t.names.
+func (t *takeover) readRows(r io.Reader) iter.Seq2[[]byte, error] {
 	return func(yield func([]byte, error) bool) {
-		in := bufio.NewReaderSize(from, 1<<16)
-		l.names = make([]nameRow, 0, min(max(l.Names, 0), 1<<20))
+		in := bufio.NewReaderSize(r, 1<<16)
+		t.names = make([]nameRow, 0, min(max(t.Names, 0), 1<<20))
 		var row []byte
 		for {
 			size, err := binary.ReadUvarint(in)
 			if err == nil && size > maxRowBytes {
-				err = fmt.Errorf("a row of %d bytes", size)
+				err = fmt.Errorf("row of %d bytes exceeds the limit", size)
 			}
 			if err != nil {
 				yield(nil, err)
@@ -183,12 +185,12 @@
 				return
 			}
 			if row[0] == nameRowTag {
-				x, err := parseNameRow(row)
+				named, err := parseNameRow(row)
 				if err != nil {
 					yield(nil, err)
 					return
 				}
-				l.names = append(l.names, x)
+				t.names = append(t.names, named)
 			} else if !yield(row, nil) {
 				return
 			}
--- a/internal/node/transfer_bench_test.go
+++ b/internal/node/transfer_bench_test.go
@@ -13,8 +13,8 @@
 	"crossdeal/logic"
 )
 
-// newLargeNode is the owner of a state with so many destinations of two endpoints each, all of which served some messages,
-// as far as a transfer needs it.
+// newLargeNode returns a node with a large state, as far as a transfer needs it: dests destinations with two endpoints
+// each, which have all served messages.
 func newLargeNode(t testing.TB, dests int) *Node {
 	t.Helper()
 	cfg := newLargeConfig(t)
@@ -58,8 +58,9 @@
 	return cfg
 }
 
-// transferState lets a new node take over from an owner through a socket and returns it, with the time that neither decided.
-func transferState(t testing.TB, owner *Node, word string) (*Node, time.Duration, int) {
+// transferState lets a new node take over from an owner through a socket. It returns the new node, the time in which
+// neither decides anything, and the size of the state in bytes.
+func transferState(t testing.TB, owner *Node, format string) (*Node, time.Duration, int) {
 	t.Helper()
 	dir := owner.cfg.StateDir
 	var err error
@@ -82,35 +83,35 @@
 	sent, size := make(chan error, 1), 0
 	start := time.Now()
 	go func() {
-		to := <-owner.successors
-		defer to.conn.Close()
-		p, conns, _ := owner.packState(to.takesRows)
-		err := owner.sendState(to, p, conns, nil)
-		size = p.bytesSent
+		next := <-owner.successors
+		defer next.conn.Close()
+		state, conns, _ := owner.packState(next.takesRows)
+		err := owner.sendState(next, state, conns, nil)
+		size = state.bytesSent
 		sent <- err
 	}()
-	l, err := n.requestState(word)
+	received, err := n.requestState(format)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.acknowledge()
-	n.adopt(t.Context(), l)
+	received.acknowledge()
+	n.adopt(t.Context(), received)
 	took := time.Since(start)
 	if err := <-sent; err != nil {
 		t.Fatal(err)
 	}
 	n.journal.Close()
 	n.lockFile.Close()
-	l.listener.Close()
+	received.listener.Close()
 	return n, took, size
 }
 
-// BenchmarkTransfer is a state transfer between two nodes of one process: the state in bytes, the time in which neither
-// decides, and what is allocated for it on both sides.
+// BenchmarkTransfer measures a state transfer between two nodes in one process: the size of the state, the time in
+// which neither decides anything, and the memory allocated on both sides.
 func BenchmarkTransfer(b *testing.B) {
 	for _, dests := range []int{1000, 10_000, 100_000} {
-		for _, word := range []string{handoverRequestText, handoverRequestRows} {
-			b.Run(fmt.Sprintf("dests=%d/%s", dests, word[len("take "):]), func(b *testing.B) {
+		for _, format := range []string{handoverRequestText, handoverRequestRows} {
+			b.Run(fmt.Sprintf("dests=%d/%s", dests, format[len("take "):]), func(b *testing.B) {
 				owner := newLargeNode(b, dests)
 				for b.Loop() {
 					b.StopTimer()
@@ -118,7 +119,7 @@
 					var before, after runtime.MemStats
 					runtime.ReadMemStats(&before)
 					b.StartTimer()
-					n, took, size := transferState(b, owner, word)
+					n, took, size := transferState(b, owner, format)
 					b.ReportMetric(float64(size)/1e6, "MB-sent")
 					b.StopTimer()
 					runtime.ReadMemStats(&after)
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -23,29 +23,30 @@
 	"crossdeal/logic"
 )
 
-// previousFormatDir is the folder of a process of the version before the tables went row by row, and what it said to a successor:
-// 14 messages delivered at s-0, s-1 taken out by an operator, the call of "out" under way at s-0, "w" told to come again
-// in 60 s at s-w, s-u draining. Addresses are placeholders. Its times are moved to the present here.
+// previousFormatDir holds the state folder of a process of the version before the row format, and the state that it
+// sent to a successor: 14 messages delivered at s-0, s-1 taken out by an operator, the call of message "out" in flight
+// at s-0, message "w" rejected by s-w with a retry-after of 60 s, s-u draining. Addresses are placeholders. The tests
+// move its times to the present.
 const previousFormatDir = "testdata/form1"
 
-// recordedState is what that process said, its endpoints at other addresses.
+// recordedState returns the recorded state with the times moved to the present and addresses filled in.
 func recordedState(t *testing.T, addrs ...string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(previousFormatDir, "transfer.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var made struct{ At int64 }
-	if err := json.Unmarshal(text, &made); err != nil {
+	var recorded struct{ At int64 }
+	if err := json.Unmarshal(text, &recorded); err != nil {
 		t.Fatal(err)
 	}
-	later := time.Now().UnixMicro() - made.At
+	age := time.Now().UnixMicro() - recorded.At
 	text = regexp.MustCompile(`17961823\d{8}`).ReplaceAllFunc(text, func(b []byte) []byte {
 		at, err := strconv.ParseInt(string(b), 10, 64)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return strconv.AppendInt(nil, at+later, 10)
+		return strconv.AppendInt(nil, at+age, 10)
 	})
 	for i, addr := range addrs {
 		text = bytes.ReplaceAll(text, []byte("ADDR-"+string("ABW"[i])), []byte(addr))
@@ -53,7 +54,7 @@
 	return text
 }
 
-// copyRecordedDir is a copy of the folder.
+// copyRecordedDir returns a copy of the recorded state folder.
 func copyRecordedDir(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -67,8 +68,8 @@
 	return dir
 }
 
-// serveRecordedState stands for that process: it knows one form, and hands over once it is asked in that. What it was asked
-// and told comes out.
+// serveRecordedState stands for the recorded process: it supports the text format only, and hands the state over once
+// it is requested in that format. The returned channel gets the lines that it receives.
 func serveRecordedState(t *testing.T, dir string, text []byte, conns ...syscall.Conn) <-chan string {
 	t.Helper()
 	lock, err := lockState(dir)
@@ -80,7 +81,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close(); lock.Close() })
-	heard := make(chan string, 16)
+	received := make(chan string, 16)
 	go func() {
 		for {
 			conn, err := ln.AcceptUnix()
@@ -88,7 +89,7 @@
 				return
 			}
 			line, _ := bufio.NewReader(conn).ReadString('\n')
-			heard <- strings.TrimSpace(line)
+			received <- strings.TrimSpace(line)
 			if !strings.HasPrefix(line, "take 1 ") {
 				conn.Close()
 				continue
@@ -103,17 +104,17 @@
 			conn.WriteMsgUnix([]byte{'f'}, syscall.UnixRights(fds...), nil)
 			conn.Write(text)
 			line, _ = bufio.NewReader(conn).ReadString('\n')
-			heard <- strings.TrimSpace(line)
+			received <- strings.TrimSpace(line)
 			conn.Close()
 			lock.Close()
 			return
 		}
 	}()
-	return heard
+	return received
 }
 
-// A process of the version before hands over in its form, and its folder goes on: the call that is out, the told wait,
-// what an operator took out, the client's connection and what was learned.
+// A process of the previous version hands over in its format, and its state is resumed: the call in flight, the wait,
+// the endpoint that an operator took out, the client's connection and the tables of the decision logic.
 func TestUpgradeFromPreviousFormat(t *testing.T) {
 	p, dir := newTestPlatform(t), copyRecordedDir(t)
 	a, b, w := newTestEndpoint(t), newTestEndpoint(t), newTestEndpoint(t)
@@ -127,7 +128,7 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintf(out, "POST / HTTP/1.1\r\nHost: a\r\nX-Trace-Id: out\r\nContent-Length: 0\r\n\r\n")
-	under := await(t, a.calls, "call under way")
+	inFlight := await(t, a.calls, "call in flight")
 	idle, err := net.Dial("tcp", w.addr())
 	if err != nil {
 		t.Fatal(err)
@@ -137,7 +138,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	heard := serveRecordedState(t, dir, recordedState(t, a.addr(), b.addr(), w.addr()), ln.(*net.TCPListener), out.(*net.TCPConn),
+	received := serveRecordedState(t, dir, recordedState(t, a.addr(), b.addr(), w.addr()), ln.(*net.TCPListener), out.(*net.TCPConn),
 		idle.(*net.TCPConn), client.(*net.TCPConn))
 	known := discovery.List{Generation: 7, Reset: true, Instances: []discovery.Instance{
 		{ID: "s-0", HostPort: a.addr(), Zone: "a", Kind: "std", Destination: 1, Lifecycle: "up", Weight: 100},
@@ -146,62 +147,63 @@
 	p.list = known
 	n := startNodeWithAdmin(t, p, dir, known)
 	for _, want := range []string{handoverRequestRows + " -", "take 1 -", "taken"} {
-		got := await(t, heard, "word")
+		got := await(t, received, "line of the new process")
 		if got, _, _ = strings.Cut(got, "127"); strings.TrimSpace(strings.TrimSuffix(got, "-")) != strings.TrimSuffix(want, " -") {
-			t.Errorf("the new process said %q, want %q", got, want)
+			t.Errorf("new process sent %q, want %q", got, want)
 		}
 	}
 	out.Close()
 	idle.Close()
 	client.Close()
 	if n.addr != ln.Addr().String() {
-		t.Errorf("listens at %s, not at %s", n.addr, ln.Addr())
+		t.Errorf("new process listens at %s, want %s", n.addr, ln.Addr())
 	}
-	under.reply(200)
-	c.put("out", "unsafe", "+OK") // known
+	inFlight.reply(200)
+	c.put("out", "unsafe", "+OK") // a known id
 	c.put("new", "unsafe", "+OK")
-	next := await(t, a.calls, "call on the connection that came along")
-	if next.id() != "new" || next.conn != under.conn {
-		t.Errorf("call with %s", next.id())
+	next := await(t, a.calls, "call on the connection that was handed over")
+	if next.id() != "new" || next.conn != inFlight.conn {
+		t.Errorf("call with message %s, want new on the connection of the first call", next.id())
 	}
 	next.reply(200)
 	if got := c.do("MSG.PUT", "0", "w2", "c=unsafe,d=600,dest=2", "x"); got != "+OK" {
 		t.Fatalf("got %q", got)
 	}
 	if x := await(t, p.notices, "notice"); x.ID != "w2" || x.State != "returned" {
-		t.Errorf("notice %+v, want that w2 is returned: the told wait still holds", x)
+		t.Errorf("notice %+v, want that w2 is returned because of the wait", x)
 	}
 	w.expectNoCall(t)
 	b.expectNoCall(t)
 	expectOperatorAnswer(t, n.admin.address().String(), "enable-server s-1", "ok")
 }
 
-// What this version says to a process of the version before is what that one would have said itself, field by field.
+// The state in the text format is the same as the one that the previous version sends, field by field.
 func TestStateInPreviousFormatIsUnchanged(t *testing.T) {
 	text := recordedState(t)
 	var want, got map[string]any
 	if err := json.Unmarshal(text, &want); err != nil {
 		t.Fatal(err)
 	}
-	var l takeover
-	if err := json.Unmarshal(text, &l.stateTransfer); err != nil {
+	var previous takeover
+	if err := json.Unmarshal(text, &previous.stateTransfer); err != nil {
 		t.Fatal(err)
 	}
 	n, err := New(newLargeConfig(t), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n.sender, err = logic.Resume(n.cfg.Deployment.Settings, 1, l.Module); err != nil {
+	if n.sender, err = logic.Resume(n.cfg.Deployment.Settings, 1, previous.Module); err != nil {
 		t.Fatal(err)
 	}
-	for name, id := range l.IDs {
-		x := l.Targets[id]
+	for name, id := range previous.IDs {
+		x := previous.Targets[id]
 		n.directory.Adopt(name, id, discovery.Target{Address: x.Addr, ZoneIndex: x.Zone, Destination: x.Dest, KindIndex: x.Kind})
 	}
-	p, _, _ := n.packState(false)
-	p.At, p.Clock, p.Generation, p.Discovery = l.At, l.Clock, l.Generation, l.Discovery
-	p.Recent, p.Held, p.Calls, p.Idle, p.Clients = l.Recent, l.Held, l.Calls, l.Idle, l.Clients // not of the module
-	again, err := json.Marshal(p)
+	state, _, _ := n.packState(false)
+	state.At, state.Clock, state.Generation, state.Discovery = previous.At, previous.Clock, previous.Generation, previous.Discovery
+	// What follows is not part of the decision logic.
+	state.Recent, state.Held, state.Calls, state.Idle, state.Clients = previous.Recent, previous.Held, previous.Calls, previous.Idle, previous.Clients
+	again, err := json.Marshal(state)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -209,11 +211,12 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("said\n%s\nwant\n%s", again, text)
+		t.Errorf("state\n%s\nwant\n%s", again, text)
 	}
 }
 
-// The folder alone, after that process's death: its journal is read, and what is owed is told.
+// The state folder alone, after the death of a process of the previous version: its journal is read and its messages
+// end with notices.
 func TestStateFolderOfPreviousFormat(t *testing.T) {
 	p, dir := newTestPlatform(t), copyRecordedDir(t)
 	known := discovery.List{Generation: 7, Reset: true, Instances: instancesOf(newTestEndpoint(t))}
@@ -224,13 +227,13 @@
 		x := await(t, p.notices, "notice")
 		got[x.ID] = x.State
 	}
-	if got["out"] != "failed" || got["w"] != "returned" { // their time was up long ago; out may have run
+	if got["out"] != "failed" || got["w"] != "returned" { // both deadlines are over; out may have run
 		t.Errorf("notices %v", got)
 	}
 	expectOperatorAnswer(t, n.admin.address().String(), "enable-server s-1", "ok")
 }
 
-// Both forms carry the same, and a name with all of its fields.
+// Both formats transfer the same state, and all fields of an endpoint name.
 func TestTransferFormatsCarrySameState(t *testing.T) {
 	owner := newLargeNode(t, 300)
 	for i, name := range []string{"", "far-away", "none"} {
@@ -241,37 +244,37 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, word := range []string{handoverRequestText, handoverRequestRows} {
-		n, _, _ := transferState(t, owner, word)
+	for _, format := range []string{handoverRequestText, handoverRequestRows} {
+		n, _, _ := transferState(t, owner, format)
 		got, err := json.Marshal(n.sender.Save())
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !bytes.Equal(got, want) {
-			t.Errorf("%s: the module's state differs", word)
+			t.Errorf("%s: state of the decision logic differs", format)
 		}
 		count := 0
 		for name, id := range owner.directory.Names() {
 			count++
 			a, _ := owner.directory.Target(id)
 			if b, _ := n.directory.Target(id); a != b && a.Address != "" {
-				t.Errorf("%s: %s is at %+v, want %+v", word, name, b, a)
+				t.Errorf("%s: %s is at %+v, want %+v", format, name, b, a)
 			}
 			if got, ok := n.directory.LookupID(name); !ok || got != id {
-				t.Errorf("%s: %s has number %d, want %d", word, name, got, id)
+				t.Errorf("%s: %s has id %d, want %d", format, name, got, id)
 			}
 		}
 		if got := n.nameCount(); got != count {
-			t.Errorf("%s: %d names, want %d", word, got, count)
+			t.Errorf("%s: %d names, want %d", format, got, count)
 		}
 	}
 }
 
-// A successor that stops to read does not keep the owner from its work for long, nor does one that breaks off in a row.
+// A successor that stops reading, or that disconnects within a row, does not stall the owner for long.
 func TestUpgradeSuccessorStalls(t *testing.T) {
 	p, e := newTestPlatform(t), newTestEndpoint(t)
 	known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
-	for i := range 6000 { // more than a socket holds
+	for i := range 6000 { // more than a socket buffer holds
 		known.Instances = append(known.Instances, discovery.Instance{ID: fmt.Sprintf("%0200d", i), HostPort: "127.0.0.1:9", Zone: "a",
 			Kind: "std", Destination: int64(i + 2), Lifecycle: "up", Weight: 100})
 	}
@@ -285,7 +288,7 @@
 			if err == nil {
 				break
 			}
-			if time.Since(at) > 2*handoverFailureDelay { // after one that failed the owner rests
+			if time.Since(at) > 2*handoverFailureDelay { // until then the owner may refuse
 				t.Fatal(err)
 			}
 			conn.Close()
@@ -300,15 +303,15 @@
 		c.put(id, "safe", "+OK")
 		in := await(t, e.calls, "call")
 		if took := time.Since(at); took > 2*handoverStallTimeout {
-			t.Errorf("served after %v", took)
+			t.Errorf("message sent after %v", took)
 		}
 		in.reply(200)
 		conn.Close()
 	}
 }
 
-// A process of the version before, which takes all in one text, is told no before anything is frozen where that text
-// would be too long: the new one would refuse it, and ask again at once.
+// A successor that requests the state as one text is refused before anything is frozen if the text would be too large.
+// The successor would reject such a text and request it again at once.
 func TestHandoverRefusedWhenStateTooLargeForOneText(t *testing.T) {
 	n, c, _, eps := startNodeWithEndpoints(t, 1)
 	for i := range maxStateTextBytes/minTextBytesPerName + 1 {
@@ -322,7 +325,8 @@
 	await(t, eps[0].calls, "call").reply(200)
 }
 
-// An owner of the version before whose text is too long for one is asked for it once: it stands still meanwhile.
+// An owner of the previous version whose state text is too large is asked for it only once, since each request stalls
+// it.
 func TestOversizedStateTextIsRequestedOnce(t *testing.T) {
 	dir := copyRecordedDir(t)
 	lock, err := lockState(dir)
@@ -335,7 +339,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	asked := make(chan string, 64)
+	requests := make(chan string, 64)
 	go func() {
 		for {
 			conn, err := ln.AcceptUnix()
@@ -347,7 +351,7 @@
 				head := binary.LittleEndian.AppendUint32(nil, 0)
 				conn.Write(binary.LittleEndian.AppendUint32(head, maxStateTextBytes+1))
 			}
-			asked <- line[:len(handoverRequestText)]
+			requests <- line[:len(handoverRequestText)]
 			conn.Close()
 		}
 	}()
@@ -362,17 +366,17 @@
 		_, err := n.takeOver(t.Context())
 		done <- err
 	}()
-	texts := 0
+	textRequests := 0
 	for range 6 {
-		if await(t, asked, "word") == handoverRequestText {
-			texts++
+		if await(t, requests, "request") == handoverRequestText {
+			textRequests++
 		}
 	}
-	if texts != 1 {
-		t.Errorf("asked for the text %d times", texts)
+	if textRequests != 1 {
+		t.Errorf("state requested as text %d times, want 1", textRequests)
 	}
 	lock.Close()
-	if err := await(t, done, "owner after the other's end"); err != nil || n.journal == nil {
+	if err := await(t, done, "takeover after the owner's end"); err != nil || n.journal == nil {
 		t.Errorf("after the owner's end: %v", err)
 	}
 }
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -1,5 +1,7 @@
 package node
 
+// The HTTP transport to endpoints: calls, probes, and the pool of idle connections.
+
 import (
 	"bufio"
 	"bytes"
@@ -21,15 +23,15 @@
 )
 
 const (
-	maxResponseBytes = 64 << 10               // head and body of an answer
-	headerTimeout    = time.Second            // for the rest of an answer's head, once it has begun
-	bodyTimeout      = 20 * time.Millisecond  // for its body; a connection that is slower is not used again
-	cancelLingerTime = 50 * time.Millisecond  // for the endpoint to see that a call is given up
-	idleExpiryMargin = 500 * time.Millisecond // a connection is not used this close to the end of its idle time
+	maxResponseBytes = 64 << 10               // head and body of a response
+	headerTimeout    = time.Second            // for the rest of a response's head, once its first byte is there
+	bodyTimeout      = 20 * time.Millisecond  // for reading its body; a connection that is slower is not reused
+	cancelLingerTime = 50 * time.Millisecond  // for the endpoint to notice that a call is abandoned
+	idleExpiryMargin = 500 * time.Millisecond // a connection is not reused this close to the end of its idle timeout
 	probeTimeout     = 1500 * time.Millisecond
 )
 
-// call is one attempt, or a probe if it has no message.
+// call is one attempt to deliver a message, or a health probe if it has no message.
 type call struct {
 	id            string
 	attempt       int
@@ -37,53 +39,54 @@
 	addr          string
 	destination   int64
 	timeout       time.Duration
-	startedAt     time.Time // of its start
-	writeDeadline time.Time // not to be written after this; zero for no such time
+	startedAt     time.Time
+	writeDeadline time.Time // the request is not written after this; zero for no limit
 	request       *http.Request
 	state         *atomic.Int32
-	reusedConn    *endpointConn                  // a connection to use; nil to make one
-	mayWrite      func(ctx context.Context) bool // asked once a new connection is up; nil if nobody wants to know
+	reusedConn    *endpointConn                  // the connection to use; nil to open one
+	mayWrite      func(ctx context.Context) bool // asked once a new connection is up; nil: no permission needed
 }
 
-// The states of a call. It goes from the first to one of the others, once.
+// The states of a call. A call begins as callConnecting and then becomes callWritten or callWithheld, once; callSent
+// and callParked follow callWritten.
 const (
 	callConnecting int32 = iota
-	callWritten          // from here on it may have run
-	callWithheld         // it is not to be written
-	callSent             // after callWritten: all of it is
-	callParked           // after callSent: it is being set aside
+	callWritten          // writing has begun: from here on the endpoint may have processed it
+	callWithheld         // it must not be written
+	callSent             // after callWritten: the whole request is written
+	callParked           // after callSent: it is being parked for another process
 )
 
-// errParked is the cause by which a call under way is set aside for another process, its connection as it is.
-var errParked = errors.New("set aside")
+// errParked is the cancellation cause that parks a call in flight for another process and leaves its connection open.
+var errParked = errors.New("parked for another process")
 
-// unansweredCountNames names, in the tally, the ends of a call that no answer came to.
+// unansweredCountNames maps the outcomes of a call without a response to the names of their counters.
 var unansweredCountNames = map[logic.Outcome]string{logic.ConnBroken: "broken", logic.TimedOut: "timed_out", logic.Cancelled: "called_off"}
 
-// errNoDescriptor ends a call for which no descriptor came free, or that this machine could not make: it says nothing of
-// the endpoint.
-var errNoDescriptor = errors.New("no connection can be made from here")
+// errNoDescriptor ends a call for which no file descriptor became free, or for which this host could not open a
+// connection. It says nothing about the endpoint.
+var errNoDescriptor = errors.New("this host cannot open a connection")
 
 // callResult is how a call ended.
 type callResult struct {
 	outcome      logic.Outcome
-	retryAfter   time.Duration // told by a refusal
-	messageEnded bool          // the endpoint says that the message is over
-	loadReport   string        // of its load, as it stands in the answer
-	parkedConn   *endpointConn // set aside, with no outcome yet: what becomes of it is for who goes on with it
+	retryAfter   time.Duration // requested by the endpoint with a rejection
+	messageEnded bool          // the endpoint reports that the message has ended
+	loadReport   string        // the endpoint's load report as the response has it, unparsed
+	parkedConn   *endpointConn // parked, with no outcome yet: whoever resumes the call gets it
 }
 
-// endpointConn is a connection with no call on it.
+// endpointConn is a connection to an endpoint.
 type endpointConn struct {
 	net.Conn
 	reader    *bufio.Reader
 	readLimit *io.LimitedReader
 	addr      string
 	idleSince time.Time
-	countedBy atomic.Pointer[clients] // whose table counts it, until it is closed
+	countedBy atomic.Pointer[clients] // the table that counts its descriptor until it is closed
 }
 
-// Close gives its descriptor back, once.
+// Close closes the connection and releases its descriptor. Only the first call releases it.
 func (conn *endpointConn) Close() error {
 	err := conn.Conn.Close()
 	if fds := conn.countedBy.Swap(nil); fds != nil {
@@ -92,176 +95,179 @@
 	return err
 }
 
-// transport makes calls over connections that it keeps. It never sends anything
-// twice, and it knows whether the last byte was written: that tells what never
-// ran from what may have run. net/http's transport does neither.
+// transport makes calls over pooled connections. It never sends a request twice, and it knows whether the last byte of
+// a request was written: this separates calls that the endpoint cannot have processed from those that it may have
+// processed. net/http's transport does neither.
 type transport struct {
 	dialer             net.Dialer
 	linger             time.Duration
 	idleTimeout        time.Duration
 	maxIdlePerEndpoint int
 	maxIdle            int      // idle connections in all
-	clients            *clients // share the descriptors with our connections; nil if there are enough
+	clients            *clients // counts the descriptors shared with client connections; nil: no bound
 	mu                 sync.Mutex
 	idle               map[logic.EndpointID][]*endpointConn
 	idleTotal          int
-	counts             map[string]int // how calls went since the last report; a few fixed names
+	counts             map[string]int // events of calls since the last report; a few fixed names
 }
 
-func newTransport(connectTime, idleTime time.Duration, perEndpoint, most int) *transport {
-	return &transport{dialer: net.Dialer{Timeout: connectTime}, linger: cancelLingerTime, idleTimeout: idleTime, maxIdlePerEndpoint: max(perEndpoint, 1), maxIdle: max(most, 1),
+func newTransport(connectTimeout, idleTimeout time.Duration, maxIdlePerEndpoint, maxIdle int) *transport {
+	return &transport{dialer: net.Dialer{Timeout: connectTimeout}, linger: cancelLingerTime, idleTimeout: idleTimeout,
+		maxIdlePerEndpoint: max(maxIdlePerEndpoint, 1), maxIdle: max(maxIdle, 1),
 		idle: map[logic.EndpointID][]*endpointConn{}, counts: map[string]int{}}
 }
 
-// countEvent counts what became of a call, for the people on call.
-func (c *transport) countEvent(what string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.counts[what]++
+// countEvent counts an event of a call for the "calls" log line.
+func (t *transport) countEvent(event string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.counts[event]++
 }
 
-// takeCounts returns the tally since the last report, as names and counts in order of name.
-func (c *transport) takeCounts() []any {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	out := make([]any, 0, 2*len(c.counts))
-	for _, name := range slices.Sorted(maps.Keys(c.counts)) {
-		out = append(out, name, c.counts[name])
+// takeCounts returns the counts since the last report as log attributes in order of name, and resets them.
+func (t *transport) takeCounts() []any {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	attrs := make([]any, 0, 2*len(t.counts))
+	for _, name := range slices.Sorted(maps.Keys(t.counts)) {
+		attrs = append(attrs, name, t.counts[name])
 	}
-	clear(c.counts)
-	return out
+	clear(t.counts)
+	return attrs
 }
 
-// do makes a call. When ctx is cancelled the call is called off.
-func (c *transport) do(ctx context.Context, in *call) callResult {
-	deadline := in.startedAt.Add(in.timeout)
-	conn, err := c.connect(ctx, in, deadline)
-	if errors.Is(err, errNoDescriptor) { // which speaks against no endpoint
-		in.state.CompareAndSwap(callConnecting, callWithheld)
+// do makes a call and returns its result. Cancelling ctx cancels the call.
+func (t *transport) do(ctx context.Context, c *call) callResult {
+	deadline := c.startedAt.Add(c.timeout)
+	conn, err := t.connect(ctx, c, deadline)
+	if errors.Is(err, errNoDescriptor) { // which is no failure of the endpoint
+		c.state.CompareAndSwap(callConnecting, callWithheld)
 	}
-	if err == nil && conn != in.reusedConn && in.mayWrite != nil && !in.mayWrite(ctx) {
-		in.state.CompareAndSwap(callConnecting, callWithheld)
+	if err == nil && conn != c.reusedConn && c.mayWrite != nil && !c.mayWrite(ctx) {
+		c.state.CompareAndSwap(callConnecting, callWithheld)
 	}
-	late := !in.writeDeadline.IsZero() && time.Now().After(in.writeDeadline)
-	if late || err == nil && ctx.Err() != nil {
-		in.state.CompareAndSwap(callConnecting, callWithheld)
+	tooLate := !c.writeDeadline.IsZero() && time.Now().After(c.writeDeadline)
+	if tooLate || err == nil && ctx.Err() != nil {
+		c.state.CompareAndSwap(callConnecting, callWithheld)
 	}
-	if !in.state.CompareAndSwap(callConnecting, callWritten) {
-		if err == nil && !c.putIdle(in.endpoint, conn) {
+	if !c.state.CompareAndSwap(callConnecting, callWritten) {
+		if err == nil && !t.putIdle(c.endpoint, conn) {
 			conn.Close()
 		}
 		return callResult{outcome: logic.NotSent}
 	}
 	if err != nil {
-		c.countEvent("not_connected")
+		t.countEvent("not_connected")
 		return callResult{outcome: logic.ConnRefused}
 	}
 	conn.SetDeadline(deadline)
-	quiet := interruptOnCancel(ctx, conn)
-	var b bytes.Buffer
-	if err := in.request.Write(&b); err != nil {
-		quiet()
+	stopInterrupt := interruptOnCancel(ctx, conn)
+	var buf bytes.Buffer
+	if err := c.request.Write(&buf); err != nil {
+		stopInterrupt()
 		conn.Close()
 		return callResult{outcome: logic.ConnRefused}
 	}
-	_, err = conn.Write(b.Bytes())
-	quiet()
+	_, err = conn.Write(buf.Bytes())
+	stopInterrupt()
 	if err != nil {
 		conn.Close()
-		c.countEvent("not_written")
-		return callResult{outcome: logic.ConnRefused} // its last byte was not written
+		t.countEvent("not_written")
+		return callResult{outcome: logic.ConnRefused} // its last byte was not written, so it cannot have run
 	}
-	in.state.Store(callSent)
-	return c.awaitResponse(ctx, in, conn, deadline)
+	c.state.Store(callSent)
+	return t.awaitResponse(ctx, c, conn, deadline)
 }
 
-// interruptOnCancel ends what is read or written on conn once ctx is cancelled, until the returned function has been called.
-func interruptOnCancel(ctx context.Context, conn net.Conn) (quiet func()) {
-	woken := make(chan struct{})
+// interruptOnCancel makes reads and writes on conn fail with a timeout once ctx is cancelled, until the returned
+// function has been called.
+func interruptOnCancel(ctx context.Context, conn net.Conn) (stopInterrupt func()) {
+	interrupted := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		conn.SetDeadline(time.Unix(1, 0))
-		close(woken)
+		close(interrupted)
 	})
 	return func() {
 		if !stop() {
-			<-woken
+			<-interrupted
 		}
 	}
 }
 
-// awaitResponse waits for the answer to a call that has been written.
-func (c *transport) awaitResponse(ctx context.Context, in *call, conn *endpointConn, deadline time.Time) (r callResult) {
-	c.countConn(conn)
-	keep := false
+// awaitResponse waits for the response to a call that has been written.
+func (t *transport) awaitResponse(ctx context.Context, c *call, conn *endpointConn, deadline time.Time) (r callResult) {
+	t.countConn(conn)
+	reusable := false
 	defer func() {
-		if r.parkedConn == nil && (!keep || !c.putIdle(in.endpoint, conn)) {
+		if r.parkedConn == nil && (!reusable || !t.putIdle(c.endpoint, conn)) {
 			conn.Close()
 		}
 	}()
 	conn.SetDeadline(deadline)
-	quiet := interruptOnCancel(ctx, conn)
+	stopInterrupt := interruptOnCancel(ctx, conn)
 	conn.readLimit.N = maxResponseBytes
 	_, err := conn.reader.Peek(1)
-	quiet()
+	stopInterrupt()
 	if isTimeout(err) && errors.Is(context.Cause(ctx), errParked) && time.Now().Before(deadline) {
 		return callResult{parkedConn: conn}
 	}
-	given := logic.ConnBroken
+	failure := logic.ConnBroken
 	if isTimeout(err) {
-		// Given up. The endpoint is told by the end of our sending, and given a moment to see it: a next call
-		// must not meet this one. An answer that is on its way counts.
-		given = logic.TimedOut
+		// The call is abandoned. Closing the write side tells the endpoint, and the linger time lets it notice: the
+		// next attempt must not overlap with this one. A response that is already on its way still counts.
+		failure = logic.TimedOut
 		if ctx.Err() != nil && !errors.Is(context.Cause(ctx), errParked) {
-			given = logic.Cancelled
+			failure = logic.Cancelled
 		}
-		if t, ok := conn.Conn.(*net.TCPConn); ok {
-			t.CloseWrite()
+		if tcp, ok := conn.Conn.(*net.TCPConn); ok {
+			tcp.CloseWrite()
 		}
-		conn.SetDeadline(time.Now().Add(c.linger))
+		conn.SetDeadline(time.Now().Add(t.linger))
 		_, err = conn.reader.Peek(1)
 	}
 	if err != nil {
-		c.countEvent(unansweredCountNames[given])
-		return callResult{outcome: given}
+		t.countEvent(unansweredCountNames[failure])
+		return callResult{outcome: failure}
 	}
 	conn.SetDeadline(time.Now().Add(headerTimeout))
-	if given == logic.ConnBroken {
-		if c.awaitHeader(ctx, conn) {
+	if failure == logic.ConnBroken {
+		if t.awaitHeader(ctx, conn) {
 			return callResult{parkedConn: conn}
 		}
-		if ctx.Err() != nil { // called off with half a head: the rest has a moment, as any answer on its way
-			given = logic.Cancelled
-			conn.SetDeadline(time.Now().Add(c.linger))
+		if ctx.Err() != nil { // cancelled with a partial head: the rest gets the linger time, like any response
+			failure = logic.Cancelled
+			conn.SetDeadline(time.Now().Add(t.linger))
 		}
 	}
 	delivered := peekStatusOK(conn.reader)
-	resp, err := http.ReadResponse(conn.reader, in.request)
+	resp, err := http.ReadResponse(conn.reader, c.request)
 	for err == nil && resp.StatusCode/100 == 1 && resp.StatusCode != http.StatusSwitchingProtocols {
 		delivered = peekStatusOK(conn.reader)
-		resp, err = http.ReadResponse(conn.reader, in.request) // an interim answer; the outcome is yet to come
+		resp, err = http.ReadResponse(conn.reader, c.request) // an interim (1xx) response; the final one follows
 	}
 	if err != nil && delivered {
-		c.countEvent("unreadable_200")
-		return callResult{outcome: logic.Completed} // the first line is true, whatever broke off after it
+		t.countEvent("unreadable_200")
+		return callResult{outcome: logic.Completed} // the status line counts, even if the rest is truncated
 	}
 	if err != nil {
-		c.countEvent("unreadable")
-		return callResult{outcome: given}
+		t.countEvent("unreadable")
+		return callResult{outcome: failure}
 	}
-	c.countEvent(statusCountName(resp.StatusCode))
-	if given == logic.ConnBroken {
-		keep = c.drainBody(conn, resp)
+	t.countEvent(statusCountName(resp.StatusCode))
+	if failure == logic.ConnBroken {
+		reusable = t.drainBody(conn, resp)
 	}
 	r = resultOf(resp)
 	r.loadReport = resp.Header.Get("Endpoint-Load-Metrics")
 	return r
 }
 
-// awaitHeader waits until the head of an answer is there, or has broken off, without taking any of it; true if the call
-// is set aside meanwhile. An answer that has begun may take its time, and a handover must not wait for that.
-func (c *transport) awaitHeader(ctx context.Context, conn *endpointConn) bool {
-	by := time.Now().Add(headerTimeout)
-	quiet := interruptOnCancel(ctx, conn)
+// awaitHeader waits until the head of a response is buffered, or the connection fails, without consuming any of it. It
+// returns true if the call is parked meanwhile. A response that has begun may take up to headerTimeout, and a handover
+// must not wait for that.
+func (t *transport) awaitHeader(ctx context.Context, conn *endpointConn) bool {
+	deadline := time.Now().Add(headerTimeout)
+	stopInterrupt := interruptOnCancel(ctx, conn)
 	var err error
 	for err == nil {
 		b, _ := conn.reader.Peek(conn.reader.Buffered())
@@ -270,12 +276,12 @@
 		}
 		_, err = conn.reader.Peek(len(b) + 1)
 	}
-	quiet()
-	conn.SetDeadline(by)
-	return isTimeout(err) && errors.Is(context.Cause(ctx), errParked) && time.Now().Before(by)
+	stopInterrupt()
+	conn.SetDeadline(deadline)
+	return isTimeout(err) && errors.Is(context.Cause(ctx), errParked) && time.Now().Before(deadline)
 }
 
-// peekStatusOK looks at the first line of an answer that is about to be read, and says whether its status is 200.
+// peekStatusOK reports whether the status line of the response that is about to be read has status 200.
 func peekStatusOK(r *bufio.Reader) bool {
 	const line = "HTTP/1.1 200"
 	b, err := r.Peek(len(line) + 1)
@@ -285,47 +291,47 @@
 	return err != nil || b[len(line)] == ' ' || b[len(line)] == '\r' || b[len(line)] == '\n'
 }
 
-// connect takes the connection that the call was given, or makes one. Where nobody has to be asked for leave it looks
-// for a kept one first.
-func (c *transport) connect(ctx context.Context, in *call, deadline time.Time) (*endpointConn, error) {
-	kept := in.reusedConn
-	if kept == nil && in.mayWrite == nil {
-		kept = c.takeIdle(in.endpoint, in.addr)
+// connect returns the connection that the call was given, or opens one. A call that needs no write permission takes an
+// idle connection if there is one.
+func (t *transport) connect(ctx context.Context, c *call, deadline time.Time) (*endpointConn, error) {
+	existing := c.reusedConn
+	if existing == nil && c.mayWrite == nil {
+		existing = t.takeIdle(c.endpoint, c.addr)
 	}
-	if kept != nil {
-		c.countEvent("reused")
-		return kept, nil
+	if existing != nil {
+		t.countEvent("reused")
+		return existing, nil
 	}
-	c.countEvent("dialed")
+	t.countEvent("dialed")
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	if err := c.acquireDescriptor(ctx); err != nil {
+	if err := t.acquireDescriptor(ctx); err != nil {
 		return nil, err
 	}
-	dialed, err := c.dialer.DialContext(ctx, "tcp", in.addr)
-	for isLocalError(err) && ctx.Err() == nil { // nothing was sent, so it is the same attempt still
-		c.countEvent("local_failure")
+	dialed, err := t.dialer.DialContext(ctx, "tcp", c.addr)
+	for isLocalError(err) && ctx.Err() == nil { // nothing was sent, so this is still the same attempt
+		t.countEvent("local_failure")
 		sleepContext(ctx, localRetryDelay)
-		dialed, err = c.dialer.DialContext(ctx, "tcp", in.addr)
+		dialed, err = t.dialer.DialContext(ctx, "tcp", c.addr)
 	}
 	if err != nil {
-		if c.clients != nil {
-			c.clients.releaseCallDescriptor()
+		if t.clients != nil {
+			t.clients.releaseCallDescriptor()
 		}
 		if isLocalError(err) {
 			err = fmt.Errorf("%w: %w", errNoDescriptor, err)
 		}
 		return nil, err
 	}
-	conn := newEndpointConn(dialed, in.addr)
-	conn.countedBy.Store(c.clients)
+	conn := newEndpointConn(dialed, c.addr)
+	conn.countedBy.Store(t.clients)
 	return conn, nil
 }
 
-// localRetryDelay is the time between two tries to connect that fail on this machine.
+// localRetryDelay is the time between two connection attempts that fail on this host.
 const localRetryDelay = 100 * time.Millisecond
 
-// localErrors are failures to connect that are this machine's own: they speak against no endpoint, and pass.
+// localErrors are connection errors of this host. They are transient and are not counted against the endpoint.
 var localErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 	syscall.EAGAIN, syscall.ENETUNREACH, syscall.ENETDOWN}
 
@@ -333,28 +339,28 @@
 	return slices.ContainsFunc(localErrors, func(local error) bool { return errors.Is(err, local) })
 }
 
-// sleepContext waits for a while, or until ctx is over.
-func sleepContext(ctx context.Context, span time.Duration) {
+// sleepContext waits for d, or until ctx is done.
+func sleepContext(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(span):
+	case <-time.After(d):
 	}
 }
 
-// acquireDescriptor takes a descriptor for a new connection, if need be in place of one that is of less use. A client that
-// may be about to send its first request is of less use only once the call has waited.
-func (c *transport) acquireDescriptor(ctx context.Context) error {
-	began, dearest := time.Now(), evictionRankStalled
-	for c.clients != nil && !c.clients.acquireCallDescriptor(dearest) {
-		if time.Since(began) > stallTimeout {
-			dearest = evictionRankNew
+// acquireDescriptor reserves a descriptor for a new connection, if need be by closing a less useful connection. A new
+// client that may be about to send its first request is evicted only once the call has waited for stallTimeout.
+func (t *transport) acquireDescriptor(ctx context.Context) error {
+	startedAt, maxRank := time.Now(), evictionRankStalled
+	for t.clients != nil && !t.clients.acquireCallDescriptor(maxRank) {
+		if time.Since(startedAt) > stallTimeout {
+			maxRank = evictionRankNew
 		}
-		if c.closeOldestIdle() {
+		if t.closeOldestIdle() {
 			continue
 		}
 		select {
 		case <-ctx.Done():
-			c.countEvent("no_descriptor")
+			t.countEvent("no_descriptor")
 			return errNoDescriptor
 		case <-time.After(shortRetryDelay):
 		}
@@ -362,30 +368,30 @@
 	return nil
 }
 
-// closeOldestIdle closes the connection that has stood idle longest; false if there is none.
-func (c *transport) closeOldestIdle() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	var of logic.EndpointID
+// closeOldestIdle closes the connection that has been idle longest; false if there is none.
+func (t *transport) closeOldestIdle() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var oldestEndpoint logic.EndpointID
 	var oldest *endpointConn
-	for ep, list := range c.idle {
+	for ep, list := range t.idle {
 		if len(list) > 0 && (oldest == nil || list[0].idleSince.Before(oldest.idleSince)) {
-			of, oldest = ep, list[0]
+			oldestEndpoint, oldest = ep, list[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	c.idle[of] = c.idle[of][1:]
-	c.idleTotal--
+	t.idle[oldestEndpoint] = t.idle[oldestEndpoint][1:]
+	t.idleTotal--
 	oldest.Close()
 	return true
 }
 
-// countConn counts a connection that another process has handed over.
-func (c *transport) countConn(conn *endpointConn) {
-	if c.clients != nil && conn.countedBy.CompareAndSwap(nil, c.clients) {
-		c.clients.addCallDescriptor()
+// countConn counts the descriptor of a connection that another process has handed over.
+func (t *transport) countConn(conn *endpointConn) {
+	if t.clients != nil && conn.countedBy.CompareAndSwap(nil, t.clients) {
+		t.clients.addCallDescriptor()
 	}
 }
 
@@ -393,14 +399,14 @@
 	return newEndpointConnWithData(conn, addr, nil)
 }
 
-// newEndpointConnWithData is a connection on which a part of an answer has come already.
-func newEndpointConnWithData(conn net.Conn, addr string, got []byte) *endpointConn {
-	limit := &io.LimitedReader{R: io.MultiReader(bytes.NewReader(got), conn)}
+// newEndpointConnWithData returns a connection on which a part of a response has been received already.
+func newEndpointConnWithData(conn net.Conn, addr string, received []byte) *endpointConn {
+	limit := &io.LimitedReader{R: io.MultiReader(bytes.NewReader(received), conn)}
 	return &endpointConn{Conn: conn, reader: bufio.NewReader(limit), readLimit: limit, addr: addr}
 }
 
-// drainBody reads the rest of an answer and says whether the connection can be used again.
-func (c *transport) drainBody(conn *endpointConn, resp *http.Response) bool {
+// drainBody reads the rest of a response and reports whether the connection can be reused.
+func (t *transport) drainBody(conn *endpointConn, resp *http.Response) bool {
 	if resp.Close || resp.StatusCode == http.StatusSwitchingProtocols {
 		return false
 	}
@@ -409,7 +415,7 @@
 	return err == nil && conn.reader.Buffered() == 0
 }
 
-// resultOf reads an answer.
+// resultOf maps a response to the result of the call.
 func resultOf(resp *http.Response) callResult {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -433,8 +439,8 @@
 	return callResult{outcome: logic.Errored}
 }
 
-// statusCountName names an answer in the tally; what the protocol does not know shares a name, so that the tally stays
-// small.
+// statusCountName returns the name of the counter for a status. Statuses that the protocol does not define share one
+// name, so that the number of counters stays small.
 func statusCountName(code int) string {
 	switch code {
 	case 200, 410, 429, 500, 503, 504:
@@ -448,15 +454,15 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// takeIdle returns the kept connection to ep that was used last, if it is still good.
-func (c *transport) takeIdle(ep logic.EndpointID, addr string) *endpointConn {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for list := c.idle[ep]; len(list) > 0; list = c.idle[ep] {
+// takeIdle returns the most recently used idle connection to ep that is still usable, or nil.
+func (t *transport) takeIdle(ep logic.EndpointID, addr string) *endpointConn {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for list := t.idle[ep]; len(list) > 0; list = t.idle[ep] {
 		conn := list[len(list)-1]
-		c.idle[ep] = list[:len(list)-1]
-		c.idleTotal--
-		if conn.addr == addr && c.reusable(conn) {
+		t.idle[ep] = list[:len(list)-1]
+		t.idleTotal--
+		if conn.addr == addr && t.reusable(conn) {
 			return conn
 		}
 		conn.Close()
@@ -464,80 +470,80 @@
 	return nil
 }
 
-// reusable says whether a kept connection may carry a call: neither about to be closed
-// for its age nor closed already, nor with an answer on it that nobody asked for.
-func (c *transport) reusable(conn *endpointConn) bool {
-	if time.Since(conn.idleSince) > c.idleTimeout-min(idleExpiryMargin, c.idleTimeout/4) {
+// reusable reports whether an idle connection may carry a call: it is not near its idle timeout, not closed by the
+// endpoint, and has no unsolicited data on it.
+func (t *transport) reusable(conn *endpointConn) bool {
+	if time.Since(conn.idleSince) > t.idleTimeout-min(idleExpiryMargin, t.idleTimeout/4) {
 		return false
 	}
 	alive, data := peekConn(conn.Conn)
 	return alive && !data
 }
 
-// putIdle keeps a connection for the next call; false if there is no room.
-func (c *transport) putIdle(ep logic.EndpointID, conn *endpointConn) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.idle[ep]) >= c.maxIdlePerEndpoint || c.idleTotal >= c.maxIdle {
+// putIdle keeps a connection for the next call; false if the pool is full.
+func (t *transport) putIdle(ep logic.EndpointID, conn *endpointConn) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if len(t.idle[ep]) >= t.maxIdlePerEndpoint || t.idleTotal >= t.maxIdle {
 		return false
 	}
-	c.countConn(conn)
+	t.countConn(conn)
 	conn.idleSince = time.Now()
 	conn.SetDeadline(time.Time{})
-	c.idle[ep] = append(c.idle[ep], conn)
-	c.idleTotal++
+	t.idle[ep] = append(t.idle[ep], conn)
+	t.idleTotal++
 	return true
 }
 
-// takeAllIdle takes all idle connections out.
-func (c *transport) takeAllIdle() map[logic.EndpointID][]*endpointConn {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	all := c.idle
-	c.idle, c.idleTotal = map[logic.EndpointID][]*endpointConn{}, 0
+// takeAllIdle removes all idle connections from the pool and returns them.
+func (t *transport) takeAllIdle() map[logic.EndpointID][]*endpointConn {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	all := t.idle
+	t.idle, t.idleTotal = map[logic.EndpointID][]*endpointConn{}, 0
 	return all
 }
 
-// idleCount is the number of idle connections.
-func (c *transport) idleCount() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.idleTotal
+// idleCount returns the number of idle connections.
+func (t *transport) idleCount() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.idleTotal
 }
 
-// closeIdle closes the kept connections to ep.
-func (c *transport) closeIdle(ep logic.EndpointID) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, conn := range c.idle[ep] {
+// closeIdle closes the idle connections to ep.
+func (t *transport) closeIdle(ep logic.EndpointID) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, conn := range t.idle[ep] {
 		conn.Close()
-		c.idleTotal--
+		t.idleTotal--
 	}
-	delete(c.idle, ep)
+	delete(t.idle, ep)
 }
 
-// closeStale closes kept connections that are no good any more.
-func (c *transport) closeStale() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for ep, list := range c.idle {
+// closeStale closes idle connections that are not reusable.
+func (t *transport) closeStale() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for ep, list := range t.idle {
 		kept := list[:0]
 		for _, conn := range list {
-			if c.reusable(conn) {
+			if t.reusable(conn) {
 				kept = append(kept, conn)
 			} else {
 				conn.Close()
-				c.idleTotal--
+				t.idleTotal--
 			}
 		}
-		if c.idle[ep] = kept; len(kept) == 0 {
-			delete(c.idle, ep)
+		if t.idle[ep] = kept; len(kept) == 0 {
+			delete(t.idle, ep)
 		}
 	}
 }
 
-// newDeliveryRequest is the request that hands m to an endpoint.
-func newDeliveryRequest(m *Message, addr string, giveUp time.Duration) (*http.Request, error) {
+// newDeliveryRequest returns the request that delivers m to an endpoint.
+func newDeliveryRequest(m *Message, addr string, timeout time.Duration) (*http.Request, error) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+"/inbox", bytes.NewReader(m.Body))
 	if err != nil {
 		return nil, fmt.Errorf("request to %s: %w", addr, err)
@@ -546,11 +552,11 @@
 	if m.IdempotencyKey != "" {
 		req.Header.Set("Idempotency-Key", m.IdempotencyKey)
 	}
-	req.Header.Set("X-Expires-In-Ms", strconv.FormatInt(max(giveUp.Milliseconds(), 1), 10))
+	req.Header.Set("X-Expires-In-Ms", strconv.FormatInt(max(timeout.Milliseconds(), 1), 10))
 	return req, nil
 }
 
-// newProbeRequest asks an endpoint whether it is well.
+// newProbeRequest returns the health check request for an endpoint.
 func newProbeRequest(addr string) (*http.Request, error) {
 	return http.NewRequest(http.MethodGet, "http://"+addr+"/alive", nil)
 }
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -14,26 +14,26 @@
 	"crossdeal/logic"
 )
 
-func newTestCall(t *testing.T, addr, body string, giveUp time.Duration) *call {
+func newTestCall(t *testing.T, addr, body string, timeout time.Duration) *call {
 	t.Helper()
 	m := &Message{ID: "m1", IdempotencyKey: "k1", Body: []byte(body)}
-	req, err := newDeliveryRequest(m, addr, giveUp)
+	req, err := newDeliveryRequest(m, addr, timeout)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &call{id: m.ID, endpoint: 1, addr: addr, startedAt: time.Now(), timeout: giveUp, request: req, state: new(atomic.Int32)}
+	return &call{id: m.ID, endpoint: 1, addr: addr, startedAt: time.Now(), timeout: timeout, request: req, state: new(atomic.Int32)}
 }
 
 func newTestTransport() *transport { return newTransport(time.Second, 10*time.Second, 4, 16) }
 
-// doInBackground makes a call in the background.
+// doInBackground makes a call in a goroutine and returns a channel for its result.
 func doInBackground(ctx context.Context, c *transport, in *call) <-chan callResult {
 	ch := make(chan callResult, 1)
 	go func() { ch <- c.do(ctx, in) }()
 	return ch
 }
 
-// An answer that is read as the wrong outcome resends what may have run, or gives up what never ran.
+// Each response maps to its outcome. A wrong outcome would repeat what may have run, or give up what has not run.
 func TestOutcomeOfEachAnswer(t *testing.T) {
 	e, c := newTestEndpoint(t), newTestTransport()
 	for _, x := range []struct {
@@ -56,7 +56,7 @@
 		in := await(t, e.calls, "call")
 		if in.body != "hello" || in.id() != "m1" || in.request.Header.Get("Idempotency-Key") != "k1" ||
 			in.request.Header.Get("X-Expires-In-Ms") != "20000" || in.request.URL.Path != "/inbox" {
-			t.Fatalf("request went out changed: %+v %q", in.request, in.body)
+			t.Fatalf("request was sent with changes: %+v %q", in.request, in.body)
 		}
 		in.reply(x.status, x.headers...)
 		if r := await(t, got, "result"); r != x.want {
@@ -64,11 +64,11 @@
 		}
 	}
 	if n := len(e.conns); n != 1 {
-		t.Errorf("%d connections for calls one after the other, want 1", n)
+		t.Errorf("%d connections for sequential calls, want 1", n)
 	}
 }
 
-// A break before the last byte proves that the call never ran; nothing may be taken for more than it is.
+// A connection that breaks before the last byte is written proves that the call did not run.
 func TestBreakBeforeLastByteCountsAsRefused(t *testing.T) {
 	small := func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -96,17 +96,17 @@
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
 	if r := await(t, got, "result"); r.outcome != logic.ConnRefused {
-		t.Errorf("got %+v, want RefusedConn", r)
+		t.Errorf("got %+v, want ConnRefused", r)
 	}
 }
 
-// After the last byte it may have run, however the connection ends.
+// After the last byte is written the call may have run, however the connection ends.
 func TestBreakAfterLastByteCountsAsSevered(t *testing.T) {
 	e, c := newTestEndpoint(t), newTestTransport()
 	got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
 	await(t, e.calls, "call").reset()
 	if r := await(t, got, "result"); r.outcome != logic.ConnBroken {
-		t.Errorf("reset: got %+v, want Severed", r)
+		t.Errorf("reset: got %+v, want ConnBroken", r)
 	}
 	got = doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
 	in := await(t, e.calls, "call")
@@ -114,21 +114,21 @@
 	in.conn.Close()
 	in.keepReading <- false
 	if r := await(t, got, "result"); r.outcome != logic.ConnBroken {
-		t.Errorf("half an answer: got %+v, want Severed", r)
+		t.Errorf("half an answer: got %+v, want ConnBroken", r)
 	}
 }
 
-// A port that nobody listens on.
+// A call to a port without a listener is refused.
 func TestConnectionRefused(t *testing.T) {
 	e, c := newTestEndpoint(t), newTestTransport()
 	e.listener.Close()
 	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.ConnRefused {
-		t.Errorf("got %+v, want RefusedConn", r)
+		t.Errorf("got %+v, want ConnRefused", r)
 	}
 }
 
-// A connection that the endpoint has closed, or that is about to be closed for its age, would turn the next call
-// into a reset, which an unsafe message does not survive.
+// An idle connection that the endpoint has closed, or that is about to reach its idle timeout, is not reused: the next
+// call on it could be reset, which makes an unsafe message fail.
 func TestStaleIdleConnectionIsNotReused(t *testing.T) {
 	e, c := newTestEndpoint(t), newTransport(time.Second, time.Hour, 4, 16)
 	call := func(end func(*receivedCall)) {
@@ -140,7 +140,7 @@
 		}
 	}
 	call(func(in *receivedCall) { in.replyAndClose(200) })
-	for stop := time.Now().Add(testTimeout); ; { // until the end of the connection has come
+	for stop := time.Now().Add(testTimeout); ; { // until the close of the connection is visible
 		c.mu.Lock()
 		gone := len(c.idle[1]) == 0 || !c.reusable(c.idle[1][0])
 		c.mu.Unlock()
@@ -148,7 +148,7 @@
 			break
 		}
 		if time.Now().After(stop) {
-			t.Fatal("the closed connection stays good")
+			t.Fatal("closed connection still counts as reusable")
 		}
 	}
 	call(func(in *receivedCall) { in.reply(200) })
@@ -160,22 +160,22 @@
 	c.mu.Unlock()
 	call(func(in *receivedCall) { in.reply(200) })
 	if n := len(e.conns); n != 3 {
-		t.Fatalf("%d connections, want a third after the second grew old", n)
+		t.Fatalf("%d connections, want a third after the second has expired", n)
 	}
 	c.mu.Lock()
 	c.idle[1][0].idleSince = time.Now().Add(-2 * time.Hour)
 	c.mu.Unlock()
 	c.closeStale()
 	if c.idleTotal != 0 || len(c.idle) != 0 {
-		t.Errorf("an old connection is kept after a sweep")
+		t.Errorf("expired connection is kept after a sweep")
 	}
 }
 
-// A call that is given up must be over for the endpoint too before its outcome is told: the next attempt would be
-// a second copy.
+// An abandoned call must have ended for the endpoint before its outcome is reported: the next attempt would run at the
+// same time otherwise.
 func TestCallIsOverForEndpointBeforeOutcome(t *testing.T) {
 	e, c := newTestEndpoint(t), newTestTransport()
-	c.linger = 2 * testTimeout // only the endpoint's own end of the call can cut it short
+	c.linger = 2 * testTimeout // long enough that only the endpoint can end the call
 	ctx, cancel := context.WithCancel(t.Context())
 	got := doInBackground(ctx, c, newTestCall(t, e.addr(), "hello", testTimeout))
 	in := await(t, e.calls, "call")
@@ -183,14 +183,14 @@
 	in.awaitClose(t)
 	in.reset()
 	if r := await(t, got, "result"); r.outcome != logic.Cancelled {
-		t.Errorf("cancelled: got %+v, want Recalled", r)
+		t.Errorf("cancelled: got %+v, want Cancelled", r)
 	}
 	got = doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", 30*time.Millisecond))
 	in = await(t, e.calls, "call")
 	in.awaitClose(t)
 	in.reset()
 	if r := await(t, got, "result"); r.outcome != logic.TimedOut {
-		t.Errorf("timed out: got %+v, want Overdue", r)
+		t.Errorf("timed out: got %+v, want TimedOut", r)
 	}
 	ctx, cancel = context.WithCancel(t.Context())
 	got = doInBackground(ctx, c, newTestCall(t, e.addr(), "hello", testTimeout))
@@ -199,32 +199,32 @@
 	in.awaitClose(t)
 	in.reply(200)
 	if r := await(t, got, "result"); r.outcome != logic.Completed {
-		t.Errorf("answered while it was given up: got %+v, want Completed", r)
+		t.Errorf("answered while being cancelled: got %+v, want Completed", r)
 	}
-	c.linger = time.Millisecond // an endpoint that does not react
+	c.linger = time.Millisecond // the endpoint does not react in this time
 	got = doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", 30*time.Millisecond))
 	in = await(t, e.calls, "call")
 	if r := await(t, got, "result"); r.outcome != logic.TimedOut {
-		t.Errorf("silent: got %+v, want Overdue", r)
+		t.Errorf("unresponsive: got %+v, want TimedOut", r)
 	}
 	in.awaitClose(t)
 	if c.idleTotal != 0 {
-		t.Errorf("%d connections kept after calls that were given up", c.idleTotal)
+		t.Errorf("%d connections kept after abandoned calls", c.idleTotal)
 	}
 }
 
-// A call that still connects when it is called off has not run.
+// A call that is cancelled while it connects has not run.
 func TestCallCancelledWhileConnectingIsNotSent(t *testing.T) {
 	e, c := newTestEndpoint(t), newTestTransport()
 	ctx, cancel := context.WithCancel(t.Context())
 	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { cancel(); return nil }
 	if r := c.do(ctx, newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.ConnRefused {
-		t.Errorf("got %+v, want RefusedConn", r)
+		t.Errorf("got %+v, want ConnRefused", r)
 	}
 	e.expectNoCall(t)
 }
 
-// A wait or a drain that becomes known while a call connects binds it: it must not be written afterwards.
+// A call that is withheld while it connects, because of a wait or a drain, must not be written.
 func TestCallWithheldWhileConnectingIsNotSent(t *testing.T) {
 	e, c := newTestEndpoint(t), newTestTransport()
 	in := newTestCall(t, e.addr(), "hello", testTimeout)
@@ -233,23 +233,24 @@
 		return nil
 	}
 	if r := c.do(t.Context(), in); r.outcome != logic.NotSent {
-		t.Errorf("got %+v, want Moot", r)
+		t.Errorf("got %+v, want NotSent", r)
 	}
 	e.expectNoCall(t)
 }
 
-// Connecting takes time: a repeat that would be written after the destination has forgotten its key is not made.
+// A repeat whose write deadline passes while it connects is not written: the destination may have forgotten its
+// idempotency key by then.
 func TestCallPastWriteDeadlineIsNotSent(t *testing.T) {
 	e, c := newTestEndpoint(t), newTestTransport()
 	in := newTestCall(t, e.addr(), "hello", testTimeout)
 	in.writeDeadline = time.Now().Add(-time.Millisecond)
 	if r := c.do(t.Context(), in); r.outcome != logic.NotSent {
-		t.Errorf("got %+v, want Moot", r)
+		t.Errorf("got %+v, want NotSent", r)
 	}
 	e.expectNoCall(t)
 }
 
-// An interim answer is not the outcome.
+// An interim response (1xx) is not the outcome.
 func TestInterimAnswerIsNotTheOutcome(t *testing.T) {
 	e, c := newTestEndpoint(t), newTestTransport()
 	got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
@@ -261,8 +262,8 @@
 	}
 }
 
-// What breaks off after a first line with 200 was delivered all the same; any other answer that can't be read may
-// have run.
+// A response with a complete 200 status line counts as delivered even if the rest is truncated. After any other
+// unreadable response the call may have run.
 func TestTruncatedOrInvalidAnswers(t *testing.T) {
 	e, c := newTestEndpoint(t), newTestTransport()
 	for text, want := range map[string]logic.Outcome{
@@ -288,7 +289,7 @@
 	}
 }
 
-// A call is called off with half of its answer's head there: it ends soon, and not after the time that a head may take.
+// A call that is cancelled with a partial response head ends soon, not only after headerTimeout.
 func TestCancelWithPartialHeaderEndsSoon(t *testing.T) {
 	e := newTestEndpoint(t)
 	c := newTransport(time.Second, 10*time.Second, 4, 16)
@@ -303,10 +304,10 @@
 	}()
 	io.WriteString(await(t, e.calls, "call").conn, "HTTP/1.1 500 Inter")
 	time.Sleep(50 * time.Millisecond)
-	at := time.Now()
+	cancelledAt := time.Now()
 	cancel(nil)
 	r := await(t, ended, "outcome")
-	if took := time.Since(at); r.outcome != logic.Cancelled || took > headerTimeout/2 {
-		t.Errorf("%v after %v, want recalled at once", r.outcome, took)
+	if took := time.Since(cancelledAt); r.outcome != logic.Cancelled || took > headerTimeout/2 {
+		t.Errorf("%v after %v, want Cancelled at once", r.outcome, took)
 	}
 }
