--- a/cmd/cometrack/main.go
+++ b/cmd/cometrack/main.go
@@ -1,5 +1,5 @@
-// Command cometrack is one sender on real sockets: it takes messages from clients
-// over RESP2 and delivers them to the endpoints of their destinations over HTTP.
+// Command cometrack runs one sender on real sockets: it receives messages from clients over RESP2 and delivers them over
+// HTTP to the endpoints of their destinations.
 package main
 
 import (
@@ -25,10 +25,10 @@
 	}
 }
 
-// logLevelVariable names the environment variable that sets the lowest level that is logged: debug, info, warn or error.
+// logLevelVariable is the environment variable for the lowest level that is logged: debug, info, warn or error.
 const logLevelVariable = "BALANCER_LOG"
 
-// logLevel is the level that the environment asks for, info if it names none that is known.
+// logLevel returns the level that the environment sets, or info if it sets none or an unknown one.
 func logLevel() slog.Level {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(os.Getenv(logLevelVariable))); err != nil {
@@ -38,24 +38,24 @@
 }
 
 const (
-	readPause = 100 * time.Millisecond // before a configuration that could not be read is read again
-	readTries = 10
+	configRetryDelay = 100 * time.Millisecond // between two reads of a configuration that could not be read
+	maxConfigReads   = 10
 )
 
 func run(log *slog.Logger) error {
-	hup := make(chan os.Signal, 1) // one that is not read yet stands for all that came since
-	signal.Notify(hup, syscall.SIGHUP)
+	hangups := make(chan os.Signal, 1) // one pending signal stands for all that arrive before it is handled
+	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	cfg, err := node.LoadConfig()
 	if err != nil {
 		return err
 	}
-	if c := cfg.Limits.Cores; c > 0 {
-		runtime.GOMAXPROCS(max(int(math.Ceil(c)), 1))
+	if cores := cfg.Limits.Cores; cores > 0 {
+		runtime.GOMAXPROCS(max(int(math.Ceil(cores)), 1))
 	}
-	if m := cfg.Limits.MemoryMB; m > 0 {
-		debug.SetMemoryLimit(int64(m * 0.7 * (1 << 20)))
+	if memory := cfg.Limits.MemoryMB; memory > 0 {
+		debug.SetMemoryLimit(int64(memory * 0.7 * (1 << 20)))
 	}
 	n, err := node.New(cfg, log)
 	if err != nil {
@@ -63,34 +63,34 @@
 	}
 	done := make(chan struct{})
 	var wg sync.WaitGroup
-	wg.Go(func() { follow(n, log, hup, done) })
+	wg.Go(func() { followDiscoveryAddress(n, log, hangups, done) })
 	err = n.Run(ctx)
 	close(done)
 	wg.Wait()
 	return err
 }
 
-// follow takes discovery's address anew at each SIGHUP, until done is closed.
-func follow(n *node.Node, log *slog.Logger, hup <-chan os.Signal, done <-chan struct{}) {
+// followDiscoveryAddress reads discovery's address again at each SIGHUP and passes it to the node, until done is closed.
+func followDiscoveryAddress(n *node.Node, log *slog.Logger, hangups <-chan os.Signal, done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
 			return
-		case <-hup:
+		case <-hangups:
 		}
-		addr, err := node.LoadDiscovery()
-		for i := 1; err != nil && i < readTries; i++ { // the file may be half written
+		address, err := node.LoadDiscoveryAddr()
+		for reads := 1; err != nil && reads < maxConfigReads; reads++ { // the file may be incomplete while it is being written
 			select {
 			case <-done:
 				return
-			case <-time.After(readPause):
+			case <-time.After(configRetryDelay):
 			}
-			addr, err = node.LoadDiscovery()
+			address, err = node.LoadDiscoveryAddr()
 		}
 		if err != nil {
-			log.Error("configuration not taken", "err", err)
+			log.Error("cannot read the configuration, keeping the discovery address", "err", err)
 			continue
 		}
-		n.Move(addr)
+		n.MoveDiscovery(address)
 	}
 }
--- /dev/null
+++ b/internal/node/transport_test.go
@@ -0,0 +1,312 @@
+package node
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"crossdeal/logic"
+)
+
+func newTestCall(t *testing.T, addr, body string, giveUp time.Duration) *call {
+	t.Helper()
+	m := &Message{ID: "m1", IdempotencyKey: "k1", Body: []byte(body)}
+	req, err := newDeliveryRequest(m, addr, giveUp)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return &call{id: m.ID, endpoint: 1, addr: addr, startedAt: time.Now(), timeout: giveUp, request: req, state: new(atomic.Int32)}
+}
+
+func newTestTransport() *transport { return newTransport(time.Second, 10*time.Second, 4, 16) }
+
+// doInBackground makes a call in the background.
+func doInBackground(ctx context.Context, c *transport, in *call) <-chan callResult {
+	ch := make(chan callResult, 1)
+	go func() { ch <- c.do(ctx, in) }()
+	return ch
+}
+
+// An answer that is read as the wrong outcome resends what may have run, or gives up what never ran.
+func TestOutcomeOfEachAnswer(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	for _, x := range []struct {
+		status  int
+		headers []string
+		want    callResult
+	}{
+		{200, nil, callResult{outcome: logic.Completed}},
+		{500, nil, callResult{outcome: logic.Errored}},
+		{400, nil, callResult{outcome: logic.Errored}},
+		{429, []string{"X-Come-Back-Ms: 250"}, callResult{outcome: logic.Rejected, retryAfter: 250 * time.Millisecond}},
+		{429, []string{"X-Come-Back-Ms: -1"}, callResult{outcome: logic.Rejected}},
+		{429, []string{"X-Come-Back-Ms: soon"}, callResult{outcome: logic.Rejected}},
+		{503, nil, callResult{outcome: logic.Rejected}},
+		{503, []string{"X-Line-Busy: 1"}, callResult{outcome: logic.NotSent}},
+		{504, nil, callResult{outcome: logic.NotSent}},
+		{410, nil, callResult{outcome: logic.NotSent, messageEnded: true}},
+	} {
+		got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+		in := await(t, e.calls, "call")
+		if in.body != "hello" || in.id() != "m1" || in.request.Header.Get("Idempotency-Key") != "k1" ||
+			in.request.Header.Get("X-Expires-In-Ms") != "20000" || in.request.URL.Path != "/inbox" {
+			t.Fatalf("request went out changed: %+v %q", in.request, in.body)
+		}
+		in.reply(x.status, x.headers...)
+		if r := await(t, got, "result"); r != x.want {
+			t.Errorf("%d %v: got %+v, want %+v", x.status, x.headers, r, x.want)
+		}
+	}
+	if n := len(e.conns); n != 1 {
+		t.Errorf("%d connections for calls one after the other, want 1", n)
+	}
+}
+
+// A break before the last byte proves that the call never ran; nothing may be taken for more than it is.
+func TestBreakBeforeLastByteCountsAsRefused(t *testing.T) {
+	small := func(_, _ string, raw syscall.RawConn) error {
+		return raw.Control(func(fd uintptr) {
+			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4096)
+			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
+		})
+	}
+	lc := net.ListenConfig{Control: small}
+	ln, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	c := newTestTransport()
+	c.dialer.Control = small
+	// Far more than both buffers hold, so that the last byte cannot have been written.
+	got := doInBackground(t.Context(), c, newTestCall(t, ln.Addr().String(), strings.Repeat("x", 8<<20), testTimeout))
+	conn, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.ReadFull(conn, make([]byte, 16)); err != nil {
+		t.Fatal(err)
+	}
+	conn.(*net.TCPConn).SetLinger(0)
+	conn.Close()
+	if r := await(t, got, "result"); r.outcome != logic.ConnRefused {
+		t.Errorf("got %+v, want RefusedConn", r)
+	}
+}
+
+// After the last byte it may have run, however the connection ends.
+func TestBreakAfterLastByteCountsAsSevered(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+	await(t, e.calls, "call").reset()
+	if r := await(t, got, "result"); r.outcome != logic.ConnBroken {
+		t.Errorf("reset: got %+v, want Severed", r)
+	}
+	got = doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+	in := await(t, e.calls, "call")
+	io.WriteString(in.conn, "HTTP/1.1 2")
+	in.conn.Close()
+	in.keepReading <- false
+	if r := await(t, got, "result"); r.outcome != logic.ConnBroken {
+		t.Errorf("half an answer: got %+v, want Severed", r)
+	}
+}
+
+// A port that nobody listens on.
+func TestConnectionRefused(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	e.listener.Close()
+	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.ConnRefused {
+		t.Errorf("got %+v, want RefusedConn", r)
+	}
+}
+
+// A connection that the endpoint has closed, or that is about to be closed for its age, would turn the next call
+// into a reset, which an unsafe message does not survive.
+func TestStaleIdleConnectionIsNotReused(t *testing.T) {
+	e, c := newTestEndpoint(t), newTransport(time.Second, time.Hour, 4, 16)
+	call := func(end func(*receivedCall)) {
+		t.Helper()
+		got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+		end(await(t, e.calls, "call"))
+		if r := await(t, got, "result"); r.outcome != logic.Completed {
+			t.Fatalf("got %+v, want Completed", r)
+		}
+	}
+	call(func(in *receivedCall) { in.replyAndClose(200) })
+	for stop := time.Now().Add(testTimeout); ; { // until the end of the connection has come
+		c.mu.Lock()
+		gone := len(c.idle[1]) == 0 || !c.reusable(c.idle[1][0])
+		c.mu.Unlock()
+		if gone {
+			break
+		}
+		if time.Now().After(stop) {
+			t.Fatal("the closed connection stays good")
+		}
+	}
+	call(func(in *receivedCall) { in.reply(200) })
+	if n := len(e.conns); n != 2 {
+		t.Fatalf("%d connections, want a second after the first was closed", n)
+	}
+	c.mu.Lock()
+	c.idle[1][0].idleSince = time.Now().Add(200*time.Millisecond - time.Hour)
+	c.mu.Unlock()
+	call(func(in *receivedCall) { in.reply(200) })
+	if n := len(e.conns); n != 3 {
+		t.Fatalf("%d connections, want a third after the second grew old", n)
+	}
+	c.mu.Lock()
+	c.idle[1][0].idleSince = time.Now().Add(-2 * time.Hour)
+	c.mu.Unlock()
+	c.closeStale()
+	if c.idleTotal != 0 || len(c.idle) != 0 {
+		t.Errorf("an old connection is kept after a sweep")
+	}
+}
+
+// A call that is given up must be over for the endpoint too before its outcome is told: the next attempt would be
+// a second copy.
+func TestCallIsOverForEndpointBeforeOutcome(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	c.linger = 2 * testTimeout // only the endpoint's own end of the call can cut it short
+	ctx, cancel := context.WithCancel(t.Context())
+	got := doInBackground(ctx, c, newTestCall(t, e.addr(), "hello", testTimeout))
+	in := await(t, e.calls, "call")
+	cancel()
+	in.awaitClose(t)
+	in.reset()
+	if r := await(t, got, "result"); r.outcome != logic.Cancelled {
+		t.Errorf("cancelled: got %+v, want Recalled", r)
+	}
+	got = doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", 30*time.Millisecond))
+	in = await(t, e.calls, "call")
+	in.awaitClose(t)
+	in.reset()
+	if r := await(t, got, "result"); r.outcome != logic.TimedOut {
+		t.Errorf("timed out: got %+v, want Overdue", r)
+	}
+	ctx, cancel = context.WithCancel(t.Context())
+	got = doInBackground(ctx, c, newTestCall(t, e.addr(), "hello", testTimeout))
+	in = await(t, e.calls, "call")
+	cancel()
+	in.awaitClose(t)
+	in.reply(200)
+	if r := await(t, got, "result"); r.outcome != logic.Completed {
+		t.Errorf("answered while it was given up: got %+v, want Completed", r)
+	}
+	c.linger = time.Millisecond // an endpoint that does not react
+	got = doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", 30*time.Millisecond))
+	in = await(t, e.calls, "call")
+	if r := await(t, got, "result"); r.outcome != logic.TimedOut {
+		t.Errorf("silent: got %+v, want Overdue", r)
+	}
+	in.awaitClose(t)
+	if c.idleTotal != 0 {
+		t.Errorf("%d connections kept after calls that were given up", c.idleTotal)
+	}
+}
+
+// A call that still connects when it is called off has not run.
+func TestCallCancelledWhileConnectingIsNotSent(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	ctx, cancel := context.WithCancel(t.Context())
+	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { cancel(); return nil }
+	if r := c.do(ctx, newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.ConnRefused {
+		t.Errorf("got %+v, want RefusedConn", r)
+	}
+	e.expectNoCall(t)
+}
+
+// A wait or a drain that becomes known while a call connects binds it: it must not be written afterwards.
+func TestCallWithheldWhileConnectingIsNotSent(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	in := newTestCall(t, e.addr(), "hello", testTimeout)
+	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
+		in.state.CompareAndSwap(callConnecting, callWithheld)
+		return nil
+	}
+	if r := c.do(t.Context(), in); r.outcome != logic.NotSent {
+		t.Errorf("got %+v, want Moot", r)
+	}
+	e.expectNoCall(t)
+}
+
+// Connecting takes time: a repeat that would be written after the destination has forgotten its key is not made.
+func TestCallPastWriteDeadlineIsNotSent(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	in := newTestCall(t, e.addr(), "hello", testTimeout)
+	in.writeDeadline = time.Now().Add(-time.Millisecond)
+	if r := c.do(t.Context(), in); r.outcome != logic.NotSent {
+		t.Errorf("got %+v, want Moot", r)
+	}
+	e.expectNoCall(t)
+}
+
+// An interim answer is not the outcome.
+func TestInterimAnswerIsNotTheOutcome(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+	in := await(t, e.calls, "call")
+	io.WriteString(in.conn, "HTTP/1.1 102 Processing\r\n\r\n")
+	in.reply(200)
+	if r := await(t, got, "result"); r.outcome != logic.Completed {
+		t.Errorf("got %+v, want Completed", r)
+	}
+}
+
+// What breaks off after a first line with 200 was delivered all the same; any other answer that can't be read may
+// have run.
+func TestTruncatedOrInvalidAnswers(t *testing.T) {
+	e, c := newTestEndpoint(t), newTestTransport()
+	for text, want := range map[string]logic.Outcome{
+		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nEndp":            logic.Completed,
+		"HTTP/1.1 200 OK\r\nno colon\r\n\r\n":                     logic.Completed,
+		"HTTP/1.0 200\r\n\x00: \x01\r\n\r\n":                      logic.Completed,
+		"HTTP/1.1 200 O":                                          logic.Completed,
+		"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nbad\r\n": logic.Completed,
+		"HTTP/1.1 20":                        logic.ConnBroken,
+		"HTTP/1.1 2000 OK\r\n\r\n":           logic.ConnBroken,
+		"HTTP/1.1 503 x\r\nno colon\r\n\r\n": logic.ConnBroken,
+		"200 OK\r\n\r\n":                     logic.ConnBroken,
+		"\x00\x01\x02":                       logic.ConnBroken,
+	} {
+		got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+		in := await(t, e.calls, "call")
+		io.WriteString(in.conn, text)
+		in.conn.Close()
+		in.keepReading <- false
+		if r := await(t, got, "result"); r.outcome != want {
+			t.Errorf("%q: outcome %d, want %d", text, r.outcome, want)
+		}
+	}
+}
+
+// A call is called off with half of its answer's head there: it ends soon, and not after the time that a head may take.
+func TestCancelWithPartialHeaderEndsSoon(t *testing.T) {
+	e := newTestEndpoint(t)
+	c := newTransport(time.Second, 10*time.Second, 4, 16)
+	req, err := http.NewRequest(http.MethodPost, "http://"+e.addr()+"/inbox", strings.NewReader("body"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancelCause(t.Context())
+	ended := make(chan callResult, 1)
+	go func() {
+		ended <- c.do(ctx, &call{endpoint: 1, addr: e.addr(), timeout: testTimeout, startedAt: time.Now(), request: req, state: new(atomic.Int32)})
+	}()
+	io.WriteString(await(t, e.calls, "call").conn, "HTTP/1.1 500 Inter")
+	time.Sleep(50 * time.Millisecond)
+	at := time.Now()
+	cancel(nil)
+	r := await(t, ended, "outcome")
+	if took := time.Since(at); r.outcome != logic.Cancelled || took > headerTimeout/2 {
+		t.Errorf("%v after %v, want recalled at once", r.outcome, took)
+	}
+}
--- a/internal/scale/standin/network.go
+++ b/internal/scale/standin/network.go
@@ -11,67 +11,68 @@
 	"syscall"
 )
 
-// Network is one in memory. It can be cut: who is cut off hears nothing, its open connections stay open and silent,
-// also after the return, and new ones never come up.
+// Network is a network in memory that can be partitioned. An isolated host receives nothing. A connection on which
+// data was lost stays open but carries nothing, also after the partition ends. New connections of an isolated host are
+// never established.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
-	away      func(host string) bool
-	port      int
+	isolated  func(host string) bool
+	lastPort  int
 }
 
-// NewNetwork makes one with nobody in it.
+// NewNetwork returns a network without listeners.
 func NewNetwork() *Network {
-	return &Network{listeners: map[string]*listener{}, away: func(string) bool { return false }}
+	return &Network{listeners: map[string]*listener{}, isolated: func(string) bool { return false }}
 }
 
-// Cut cuts the hosts off for which away holds; nil ends that.
-func (n *Network) Cut(away func(host string) bool) {
+// Partition isolates the hosts for which isolated returns true; nil ends the partition.
+func (n *Network) Partition(isolated func(host string) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if away == nil {
-		away = func(string) bool { return false }
+	if isolated == nil {
+		isolated = func(string) bool { return false }
 	}
-	n.away = away
+	n.isolated = isolated
 }
 
-func (n *Network) isAway(host string) bool {
+func (n *Network) isIsolated(host string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.away(host)
+	return n.isolated(host)
 }
 
-// Listen opens an address.
+// Listen opens a listener at an address.
 func (n *Network) Listen(addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.listeners[addr] != nil {
 		return nil, syscall.EADDRINUSE
 	}
-	l := &listener{n: n, addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
+	l := &listener{network: n, addr: addr, conns: make(chan net.Conn), done: make(chan struct{})}
 	n.listeners[addr] = l
 	return l, nil
 }
 
-// Dial connects a host with an address.
-func (n *Network) Dial(ctx context.Context, host, to string) (net.Conn, error) {
-	if n.isAway(host) {
+// Dial connects a host to an address. From an isolated host it waits until ctx ends.
+func (n *Network) Dial(ctx context.Context, host, addr string) (net.Conn, error) {
+	if n.isIsolated(host) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	n.mu.Lock()
-	l := n.listeners[to]
-	n.port++
-	port := n.port
+	l := n.listeners[addr]
+	n.lastPort++
+	port := n.lastPort
 	n.mu.Unlock()
 	if l == nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
-	a, b := net.Pipe()
-	r := &route{n: n, host: host}
-	here, there := address(fmt.Sprintf("%s:%d", host, port)), address(to)
-	client := &end{Conn: a, r: r, local: here, remote: there}
-	server := &end{Conn: b, r: r, local: there, remote: here}
+	clientPipe, serverPipe := net.Pipe()
+	state := &connState{network: n, host: host}
+	clientAddr, serverAddr := address(fmt.Sprintf("%s:%d", host, port)), address(addr)
+	client := &connEnd{Conn: clientPipe, state: state, local: clientAddr, remote: serverAddr}
+	server := &connEnd{Conn: serverPipe, state: state, local: serverAddr, remote: clientAddr}
 	select {
 	case l.conns <- server:
 		return client, nil
@@ -82,32 +83,33 @@
 	}
 }
 
-// route is one connection; once something was lost on it nothing comes through any more.
-type route struct {
-	n    *Network
-	host string
-	lost atomic.Bool
+// connState is the state that both ends of a connection share. Once data was lost, the connection carries nothing more.
+type connState struct {
+	network *Network
+	host    string
+	broken  atomic.Bool
 }
 
-type end struct {
+// connEnd is one end of a connection.
+type connEnd struct {
 	net.Conn
-	r             *route
+	state         *connState
 	local, remote address
 }
 
-func (e *end) LocalAddr() net.Addr  { return e.local }
-func (e *end) RemoteAddr() net.Addr { return e.remote }
+func (e *connEnd) LocalAddr() net.Addr  { return e.local }
+func (e *connEnd) RemoteAddr() net.Addr { return e.remote }
 
-func (e *end) Write(b []byte) (int, error) {
-	if e.r.lost.Load() || e.r.n.isAway(e.r.host) {
-		e.r.lost.Store(true)
+func (e *connEnd) Write(b []byte) (int, error) {
+	if e.state.broken.Load() || e.state.network.isIsolated(e.state.host) {
+		e.state.broken.Store(true)
 		return len(b), nil
 	}
-	k, err := e.Conn.Write(b)
+	written, err := e.Conn.Write(b)
 	if errors.Is(err, io.ErrClosedPipe) {
 		err = &net.OpError{Op: "write", Net: "tcp", Err: syscall.ECONNRESET}
 	}
-	return k, err
+	return written, err
 }
 
 type address string
@@ -116,11 +118,11 @@
 func (a address) String() string { return string(a) }
 
 type listener struct {
-	n     *Network
-	addr  string
-	conns chan net.Conn
-	done  chan struct{}
-	once  sync.Once
+	network *Network
+	addr    string
+	conns   chan net.Conn
+	done    chan struct{}
+	once    sync.Once
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -134,9 +136,9 @@
 
 func (l *listener) Close() error {
 	l.once.Do(func() {
-		l.n.mu.Lock()
-		delete(l.n.listeners, l.addr)
-		l.n.mu.Unlock()
+		l.network.mu.Lock()
+		delete(l.network.listeners, l.addr)
+		l.network.mu.Unlock()
 		close(l.done)
 	})
 	return nil
