--- a/logic/ejection.go
+++ b/logic/ejection.go
@@ -43,10 +43,11 @@
 	distantPast = Micros(math.MinInt64 / 2)
 )
 
-// ejectionAllowsAt returns when ejection allows m to be sent to e; 0 if now. It first ejects endpoints
-// with a suspected outage. An ejected endpoint gets one call at a time, at its trial times, and trial
-// calls take at most two thirds of the slots. Unsafe messages wait until their aim has passed before they
-// go to an ejected or doubtful endpoint.
+// ejectionAllowsAt returns when ejection allows m to be sent to e; 0 if now. It first ejects the
+// endpoints of the destination with a suspected outage, whose first trial call is allowed at once. An
+// ejected endpoint gets one call at a time, at its trial times, and trial calls take at most two thirds
+// of the slots. Unsafe messages wait until their aim has passed before they go to an ejected or
+// doubtful endpoint.
 func (s *Sender) ejectionAllowsAt(m *message, e *endpoint) Micros {
 	for _, x := range e.destination.endpoints {
 		if s.outageSuspected(x) {
@@ -94,9 +95,9 @@
 		// The failures of the outage are accounted for: one more chance failure is not a new outage.
 		e.failureRate = min(e.failureRate, s.chanceFailureRate)
 	}
-	// An answer while another endpoint is down shows that e is healthy. An answer after the other's return
-	// may mean that e has returned too. Many senders try the other endpoint too rarely to tell these apart,
-	// until it fails again (see markSiblingsHealthy).
+	// An answer while another endpoint is down shows that e is healthy. An answer after the other's
+	// return may mean that e has returned too. Many senders try the other endpoint too rarely to tell
+	// these cases apart until it fails again (see markSiblingsHealthy).
 	e.lastAnsweredSentAt = max(e.lastAnsweredSentAt, sentAt)
 	if !s.manySenders && (!e.destination.hadOutage ||
 		!slices.ContainsFunc(e.destination.endpoints, func(x *endpoint) bool {
@@ -140,15 +141,15 @@
 	return s.runProbability(int(e.consecutiveFailures))
 }
 
-// runProbability returns how probable a run of so many failures is by chance.
+// runProbability returns how probable a run of this many failures is by chance.
 func (s *Sender) runProbability(run int) float64 {
 	return math.Pow(min(max(s.chanceFailureRate, minChanceFailureRate), maxChanceFailureRate), float64(run))
 }
 
-// outageSuspected says whether the last thing known of e is a failure that no answer in its limiter has
-// shown to be chance soon afterwards. It matters among many senders, each of which sends too little for
-// long runs. A later answer may mean that the destination has returned: if each sender went on as before,
-// all together would overload it again.
+// outageSuspected says whether the last result of e is a failure, and no answer of an endpoint that
+// shares its limiter has shown soon afterwards that it was chance. It matters among many senders, each
+// of which sends too little for long runs. A later answer may mean that the destination has returned:
+// if each sender continued as before, all together would overload it again.
 func (s *Sender) outageSuspected(e *endpoint) bool {
 	if !s.manySenders || e.ejected || e.consecutiveFailures == 0 {
 		return false
@@ -164,9 +165,10 @@
 		s.runProbability(run) < doubtProbability
 }
 
-// markSiblingsHealthy marks the siblings of e, which has failed again, that have answered since its
-// outage began: as e is still down, their answers are no sign of a return, and they are healthy. Only
-// many senders need this, see recordSuccess.
+// markSiblingsHealthy marks siblings of e as healthy after e has failed again: those that have answered
+// a call sent since its outage began. As e is still down, these answers do not mean that the
+// destination has returned, so the siblings were not part of the outage. Only many senders need this,
+// see recordSuccess.
 func (s *Sender) markSiblingsHealthy(e *endpoint) {
 	for _, x := range e.destination.endpoints {
 		if s.manySenders && e.recovering && x.limiter == e.limiter && !x.ejected &&
@@ -201,8 +203,8 @@
 	}
 }
 
-// backOffTrials sets the next trial call, after twice the last interval up to maxTrialInterval, with 20 %
-// of random variation so that senders do not try at the same time.
+// backOffTrials sets the next trial call, after twice the last interval up to maxTrialInterval, with a
+// random variation of up to 20 % either way so that senders do not try at the same time.
 func (s *Sender) backOffTrials(e *endpoint) {
 	e.trialInterval = min(2*max(e.trialInterval, firstTrialIntervalMicros), maxTrialInterval)
 	e.nextTrialAt = s.now + e.trialInterval*Micros(80+s.rng.IntN(40))/100
--- a/logic/ending.go
+++ b/logic/ending.go
@@ -3,7 +3,7 @@
 // Ends of messages that are not delivered, restarts and shutdown. A message ends when its time is too
 // short for another attempt, when it may not be sent again, or when there is no room for it. It is
 // refused if no attempt may have run, so that the client can safely send it again, and fails otherwise.
-// After a restart the attempts made before count. Before a stop, messages that would expire until the
+// After a restart the attempts made before count. Before a stop, messages that would expire before the
 // next start are sent at once or refused.
 
 import (
@@ -11,8 +11,8 @@
 )
 
 const (
-	// A message that a restart found untried is sent regardless of the pace in this last share of its
-	// class's deadline, see atLastChance.
+	// A message that was accepted but not sent before a restart is sent regardless of the pace from a
+	// random time in this last share of its class's deadline, see atLastChance.
 	lastChanceShare = 0.15
 	// Time from a stop until the next process can send.
 	restartGapMicros = 1500_000
@@ -35,7 +35,7 @@
 	s.forgetMessage(m)
 }
 
-// retryAdvice returns when a client should retry: as late as clients observe it, since the reason for a
+// retryAdvice returns when a client should retry: as late as clients observe it, since what caused the
 // refusal lasts.
 func (s *Sender) retryAdvice() Micros {
 	if !s.settings.AdviseRetry {
@@ -49,9 +49,9 @@
 func (s *Sender) resumeMessage(m *message, prior PriorAttempts) {
 	if prior.Recovered && !prior.MayHaveRun {
 		timeLeft := m.deadline - s.now
-		lastChance := min(timeLeft, Micros(lastChanceShare*float64(m.class.Deadline)))
+		lastChanceSpan := min(timeLeft, Micros(lastChanceShare*float64(m.class.Deadline)))
 		m.untried = true
-		m.lastChanceAt = m.deadline - lastChance/3 - Micros(s.rng.Float64()*float64(lastChance)*2/3)
+		m.lastChanceAt = m.deadline - lastChanceSpan/3 - Micros(s.rng.Float64()*float64(lastChanceSpan)*2/3)
 	}
 	if prior.Tries == 0 {
 		return
@@ -100,7 +100,8 @@
 }
 
 // endExpiring ends messages whose time is nearly up. A message with an attempt in flight ends shortly
-// before its deadline, another one when its time left is less than the usual latency of a call.
+// before its deadline, unless its answer streams. Another one ends when its time left is less than the
+// usual latency of a call, or shortly before its window closes.
 func (s *Sender) endExpiring() {
 	margin := 2 * max(s.settings.Tick, 1000)
 	for _, m := range slices.Clone(s.openMessages) {
@@ -110,7 +111,7 @@
 		endAt := m.deadline - margin
 		if m.attempt == nil {
 			endAt = min(endAt, m.deadline-s.usualLatency(m))
-			if m.mayHaveRun && m.class.Effect == Keyed { // only the send has to be within the window
+			if m.mayHaveRun && m.class.Effect == Keyed { // a repeat has to be sent, not answered, within the window
 				endAt = min(endAt, m.firstMayHaveRunAt+m.class.Window-margin)
 			}
 		}
--- a/logic/gate.go
+++ b/logic/gate.go
@@ -2,20 +2,21 @@
 
 // The conditions under which a message may be sent to an endpoint now. Every send passes maySend. It
 // checks the state of the endpoint and the list, retry-after waits, the time that is left, order keys,
-// and whether the message's effect allows a repeat. After that come the limits on load: slots, ejection,
-// the budget of the slow start and the pace. A condition that will change by time alone says when to look
-// again; others say never and are looked at again with the next event.
+// and whether the message's effect allows a repeat. After that come the limits on load: slots,
+// ejection, the budget of the slow start and the pace. For a condition that changes with time alone,
+// maySend says when to check again. For others it says never, and they are checked again with the next
+// event.
 
 import (
 	"math"
 )
 
 const (
-	// never is a point in time that does not come: wait for an event instead.
+	// never is a point in time that is not reached: only an event can change the result.
 	never = Micros(math.MaxInt64)
 )
 
-// maySend says whether m may be sent to e now and, if not, when to look again.
+// maySend says whether m may be sent to e now and, if not, when to check again.
 func (s *Sender) maySend(m *message, e *endpoint) (bool, Micros) {
 	switch {
 	case e.state != Ready || m.ended || m.attempt != nil: // one attempt at a time
@@ -31,7 +32,7 @@
 	case m.deadline-s.now <= max(s.usualLatency(m), 2*s.settings.Tick): // too little time for a usual call
 		return false, never
 	}
-	if s.stopAt != 0 && s.now+s.expectedDuration(m, e) > s.stopAt { // stays in the journal for the next start
+	if s.stopAt != 0 && s.now+s.expectedDuration(m, e) > s.stopAt { // the journal keeps it for the next start
 		return false, never
 	}
 	if queue := m.keyQueue; queue != nil { // in order, and not while the key rests
@@ -79,9 +80,9 @@
 // an accepted message is owed an attempt.
 func (s *Sender) atLastChance(m *message) bool { return m.untried && s.now >= s.lastChanceAt(m) }
 
-// lastChanceAt returns from when on atLastChance holds. Messages have different, random times, as many
-// senders may restart together. A message that would expire before a stale list may be used again is sent
-// while the list is still good.
+// lastChanceAt returns from when on atLastChance holds. The times are random, as many senders may
+// restart together. A message that would expire before a stale list may be used again is sent while the
+// list is still good.
 func (s *Sender) lastChanceAt(m *message) Micros {
 	if staleAt := s.listConfirmedAt + s.settings.MaxListAge; s.settings.MaxListAge > 0 && !s.watchOpen &&
 		m.deadline <= staleAt+maxStaleListWait+Second {
--- a/logic/handover.go
+++ b/logic/handover.go
@@ -39,7 +39,7 @@
 	Keys       map[string]savedKeyQueue // orderKeys
 }
 
-// savedHistogram is a histogram. W holds the weights of all bins.
+// savedHistogram is a histogram. W holds the weights of all bins, and Cuts is cutOffs.
 type savedHistogram struct {
 	W           [binCount + 1]float64
 	Total, Cuts float64
@@ -52,8 +52,8 @@
 	At Micros
 }
 
-// savedLimiter is a limiter. Told is limitReported, Filled refilledAt, Fulls consecutiveRejections and
-// FirstFull firstRejectedAt.
+// savedLimiter is a limiter. Left is limitLeft, Until waitUntil, Sent sentTimes, Told limitReported,
+// Filled refilledAt, Fulls consecutiveRejections and FirstFull firstRejectedAt.
 type savedLimiter struct {
 	Limit, Left, Pace, Tokens, Peak, Phase float64
 	Told                                   bool
@@ -62,7 +62,8 @@
 	Sent                                   []Micros
 }
 
-// savedDestination is a destination. Next is nextEndpoint, DownAt lastOutageAt and Came arrivals.
+// savedDestination is a destination. Lane is its limiter, Listed endpoints, Next nextEndpoint, DownAt
+// lastOutageAt and Came arrivals.
 type savedDestination struct {
 	ID           int64
 	Kind, Next   int
@@ -73,8 +74,9 @@
 	Came         int
 }
 
-// savedEndpoint is an endpoint. Bad is failureRate, Slow smoothedLatency, Fails consecutiveFailures,
-// Fulls consecutiveRejections, Suspect ejected, Cold recovering, Well lastHealthyAt, BackAt returnedAt,
+// savedEndpoint is an endpoint. Lane is its own limiter, Bad failureRate, Slow smoothedLatency, Fails
+// consecutiveFailures, Fulls consecutiveRejections, Suspect ejected, Cold recovering, LastOK
+// lastSuccessAt, LastBad lastFailureAt, Well lastHealthyAt, BackAt returnedAt, TrialAt nextTrialAt,
 // Warm idleConnUntil and TrialGap trialInterval.
 type savedEndpoint struct {
 	ID                                                     EndpointID
@@ -90,9 +92,9 @@
 	TrialGap                                               Micros
 }
 
-// savedMessage is a message. Share is worthShare, First receivedAt, FirstMay firstMayHaveRunAt, MayZone
-// mayHaveRunZone, Rest notBefore, Over ended, Flows streaming, Half listWaitUntil and Chance
-// lastChanceAt.
+// savedMessage is a message. Cuts is cutOffs, Share worthShare, First receivedAt, FirstMay
+// firstMayHaveRunAt, MayZone mayHaveRunZone, Rest notBefore, Over ended, Flows streaming, Half
+// listWaitUntil and Chance lastChanceAt.
 type savedMessage struct {
 	ID                              string
 	Class, Seq, Tries, Cuts         int
@@ -106,7 +108,7 @@
 	HasLast                         bool
 }
 
-// savedAttempt is an attempt in flight. Late is countedLate.
+// savedAttempt is an attempt in flight. Cut is cutOff and Late countedLate.
 type savedAttempt struct {
 	ID                          string
 	N, Call                     int // attempts with the same Call travel in one call
@@ -178,8 +180,7 @@
 		consecutiveRejections: uint16(min(max(x.Fulls, 0), math.MaxUint16)), sentTimes: x.Sent}
 }
 
-// Save returns the state. The Sender must not be used afterwards, unless no other one continues in its
-// place.
+// Save returns the state. The Sender must not be used afterwards if another one continues in its place.
 func (s *Sender) Save() Saved { return s.save(true) }
 
 // save returns the state, with the tables of destinations and endpoints or without them.
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// A histogram bin with less weight counts as empty; a sample gets there after 40 minutes.
+	// A histogram bin with less weight counts as empty. A sample decays to it in 40 minutes.
 	minBinWeight = 0x1p-80
 	// With more senders than this, one idle connection from each may use up an endpoint's connections, and
 	// each sends too little to learn much by itself. Comments call this "many senders".
@@ -24,7 +24,7 @@
 	maxLogLines = 200
 	// Entries that a table may hold before it is pruned.
 	minPruneAbove = 256
-	// Destinations that sweepIdle looks at with each message.
+	// Destinations that sweepIdle looks at with each new message.
 	destinationsPerSweep = 2
 )
 
@@ -52,9 +52,10 @@
 	return s, nil
 }
 
-// Step applies the events, which happened up to now, and returns what to do. It applies the events first,
-// then requests the list if that is due, ends messages that are out of time, cancels calls that take too
-// long, sends what may be sent, and sets the timer for the next Step.
+// Step applies the events, which happened up to now, and returns what to do. It applies the events
+// first, then requests the list if that is due, ends messages that are out of time, cancels calls that
+// take too long, sends what may be sent, refuses what cannot be sent before a stop, and sets the timer
+// for the next Step.
 func (s *Sender) Step(now Micros, events []Event) []Action {
 	s.now = max(s.now, now)
 	s.step++
--- a/logic/membership.go
+++ b/logic/membership.go
@@ -1,10 +1,11 @@
 package logic
 
-// When the endpoint list is requested and how long it may be used. The list is a lease: it says what was
-// so when discovery wrote it. A later change, such as an endpoint that begins to drain, counts as known
-// to this sender some time after it was made, whether or not the update has arrived. So once that time
-// has passed, nothing is sent until the list is confirmed by an update or a watch. The wait is limited,
-// since discovery may be down for longer; then the list is used as it is.
+// When the endpoint list is requested and how long it may be used. The list is used like a lease: it is
+// certain only for the time at which discovery wrote it. A later change, such as an endpoint that
+// begins to drain, counts as known to this sender some time after it was made, whether or not the
+// update has arrived. Once that time has passed, nothing is sent until the list is confirmed by an
+// update or a watch. The wait is limited, since discovery may be down for longer; then the list is used
+// as it is.
 
 const (
 	// Nothing is sent on a stale list for this long. Then it is used again, as discovery may be down for
@@ -15,7 +16,7 @@
 	maxSavedListWaitMicros = 300_000
 	// Delay before the first retry of a list request.
 	firstListRetryMicros = 50_000
-	// Longest delay. Changes made meanwhile count as known, so it is shorter than the drain grace.
+	// Longest such delay. Changes made meanwhile count as known, so it is shorter than the drain grace.
 	maxListRetry = Second / 2
 	// Many senders: the first delay is this times the number of senders, since their requests add up.
 	listRetryPerSenderMicros = 25_000
@@ -24,7 +25,7 @@
 	// Many senders: longest delay after a watch that failed, which may have been unresponsive since it
 	// began.
 	listRetryAfterWatch = Second
-	// Time that an answer of discovery takes.
+	// Time allowed for an answer of discovery.
 	listAnswerTimeMicros = 100_000
 
 	// ListPushed: the delay before the agent is asked again is the drain grace divided by this ...
@@ -36,9 +37,9 @@
 	// Longest time from reading the clock to writing a call to the connection, or from the arrival of a
 	// list answer to its ListUpdate.
 	maxProcessingDelay = Second / 4
-	// ListPushed: nothing is sent for this long while the agent gives no answer that can be used.
+	// ListPushed: sends wait for at most this long while the agent gives no answer that can be used.
 	maxUnusableListWait = 10 * Second
-	// An agent that gives no answer at all for this long has lost its connection to discovery.
+	// An agent that gives no answer at all for this long counts as one that has lost discovery.
 	maxUnresponsiveWait = Second
 )
 
@@ -90,8 +91,9 @@
 	}
 }
 
-// noteUnusableAnswer records an answer that cannot be used, or not yet. What it holds counts as known, so
-// that the time without answers before it does not show that there was nothing to know.
+// noteUnusableAnswer records an answer that cannot be used, or not yet. What it holds counts as known
+// to the sender. An agent that gave no answer before counts as responsive again, so that the list is
+// not taken to be unchanged.
 func (s *Sender) noteUnusableAnswer() {
 	s.endWatch()
 	if s.unusableAnswerAt != 0 {
@@ -171,8 +173,8 @@
 	return s.staleListWaitUntil(m)
 }
 
-// ListUnconfirmed says whether sends wait at now for an update of the list, because its endpoints may be
-// draining.
+// ListUnconfirmed says whether sends wait at now for an update of the list, because its endpoints may
+// be draining. It moves the Sender's time on to now.
 func (s *Sender) ListUnconfirmed(now Micros) bool {
 	s.now = max(s.now, now)
 	return s.unconfirmedUntil(&message{}) > s.now
@@ -205,8 +207,8 @@
 	return validUntil + maxUnresponsiveWait
 }
 
-// unusableListWaitUntil is the wait where the list is requested from discovery and the last answer could
-// not be used: what the answer held counts as known from when it was written.
+// unusableListWaitUntil is unconfirmedUntil where the list is requested from discovery and the last
+// answer could not be used: what the answer held counts as known from when it was written.
 func (s *Sender) unusableListWaitUntil() Micros {
 	if s.unusableAnswerAt == 0 {
 		return distantPast
@@ -218,9 +220,9 @@
 	return validUntil + maxStaleListWait
 }
 
-// staleListWaitUntil is the wait where the list is requested from discovery. A change counts as known
-// some time after it was made, even if no update arrived, and so does a change made before a start on a
-// saved list.
+// staleListWaitUntil is unconfirmedUntil where the list is requested from discovery and no answer was
+// unusable. A change counts as known some time after it was made, even if no update arrived, and so
+// does a change made before a start on a saved list.
 func (s *Sender) staleListWaitUntil(m *message) Micros {
 	if savedUntil := s.savedListWaitUntil(m); s.listSaved && s.settings.MaxListAge > 0 && s.now < savedUntil {
 		return savedUntil
--- a/logic/outcome.go
+++ b/logic/outcome.go
@@ -1,19 +1,20 @@
 package logic
 
-// What the result of an attempt says about its message, its endpoint and its destination. A success adds
-// its latency to the histograms and raises the pace. A rejection lowers the pace or starts a retry-after
-// wait. Errors, broken or refused connections and missing answers count as failures (ejection.go). The
-// message is retried, after a delay where that helps, unless it has ended or may not be sent again.
+// What the result of an attempt says about its message, its endpoint and its destination. A success
+// adds its latency to the histograms and raises the pace. A rejection lowers the pace or starts a
+// retry-after wait. Errors, broken or refused connections and missing answers count as failures
+// (ejection.go). The message is retried, after a delay where that helps, unless it has ended or may not
+// be sent again.
 
 const (
 	// Weight of the newest call in an endpoint's smoothed latency.
 	latencyAlpha = 0.3
-	// Many senders: connections to an endpoint that is called less often than this are released, for other
-	// senders.
+	// Many senders: connections to an endpoint that is called less often than once in this time are
+	// released, which makes room for other senders.
 	connReuseInterval = 5 * Second
 	// Weight of the newest call in a kind's share of rejected calls.
 	rejectedShareAlpha = 0.05
-	// That share among many senders before the first result.
+	// Value of that share among many senders before the first result.
 	initialRejectedShare = 0.15
 	// With a higher Settings.ConnPrice, connections are not released for being used rarely.
 	highConnPrice = 0.04
@@ -30,15 +31,15 @@
 	a, e := m.attempt, m.attempt.endpoint
 	lastOfCall := s.finishAttempt(a)
 	kind := int(e.destination.kind)
-	rejected, known := s.rejectedShare[kind]
+	rejectedShare, known := s.rejectedShare[kind]
 	if s.manySenders && !known {
-		rejected = initialRejectedShare
+		rejectedShare = initialRejectedShare
 	}
-	rejected *= 1 - rejectedShareAlpha
+	rejectedShare *= 1 - rejectedShareAlpha
 	if result.Outcome == Rejected && !s.rejectedUnexamined(result) {
-		rejected += rejectedShareAlpha
+		rejectedShare += rejectedShareAlpha
 	}
-	s.rejectedShare[kind] = rejected
+	s.rejectedShare[kind] = rejectedShare
 	s.recordConnRoom(a, result)
 	s.applyLoadReport(e, result.Load)
 	if result.Outcome != Rejected && result.Outcome != ConnRefused && result.Outcome != NotSent {
@@ -94,15 +95,16 @@
 		}
 	case ConnRefused:
 		s.recordFailure(e, "refuses connections")
-		if !e.ejected { // may be chance: retry soon, but not all at once
+		if !e.ejected { // may be chance: retry soon, but with a delay that grows
 			m.notBefore = s.now + errorDelayMicros<<min(m.tries-1, 5)
 		}
 	case Errored, ConnBroken:
 		s.recordFailure(e, "errors")
 		m.notBefore = s.now + errorDelayMicros<<min(m.tries, 5)
 	}
-	// Connections of many senders, also idle ones, can use up those of an endpoint. Those that are rarely
-	// used are released, unless new ones are expensive and the kind has room for more.
+	// Connections of many senders, also idle ones, can use up those of an endpoint. An idle connection
+	// is released if it is rarely used and new ones are cheap, or if the kind may lack room
+	// (keepsIdleConn).
 	e.idleConnUntil = s.now + s.settings.ConnIdle
 	calls := len(e.sentTimes)
 	release := s.settings.ConnPrice < highConnPrice &&
--- a/logic/rate_limit.go
+++ b/logic/rate_limit.go
@@ -31,8 +31,8 @@
 	maxMeanRest = 8 * Second
 	// Rejections in a row that look like an unavailable destination ...
 	downRejections = 4
-	// ... if they span this time: the window of a limit would have passed, and some call would have been
-	// accepted.
+	// ... if they span more than this time: by then the window of a limit would have passed, and some
+	// call would have been accepted.
 	downRejectionSpanMicros = 1500_000
 	// A retry-after wait longer than this means an unavailable destination, not the window of a limit.
 	downWait = 2 * Second
@@ -40,7 +40,7 @@
 	maxRetryRejectedShare = 0.2
 	// New connections that have to be accepted after a rejected one before idle connections may be kept.
 	newConnsBeforeKeeping = 60
-	// New connections accepted beyond that at which every second idle connection is kept.
+	// Further new connections accepted until every second idle connection is kept.
 	newConnsForHalfKept = 10.0
 	// Lowest mean delay of a rejected message, as a share of the time that it has left.
 	minRestShare = 0.1
@@ -87,7 +87,8 @@
 		return
 	}
 	switch lowest := s.minPace(l); {
-	// Many senders: wait for long, since the first calls of all of them would keep the limit used up.
+	// Many senders: wait long, since the first calls of all of them together would keep the limit used
+	// up.
 	case s.manySenders && lowest < minPaceRPS && l.waitUntil <= s.now:
 		l.pace = max(lowest, 1/seconds(maxMeanRest))
 	case s.manySenders && lowest < minPaceRPS || l.pace == 0:
@@ -97,8 +98,8 @@
 	}
 	l.halvedAt = s.now
 	s.paceAllowsAt(l)
-	// Other senders were rejected too, so the next call comes up to half an interval early or late, or up
-	// to one interval after a retry-after wait.
+	// Other senders were rejected too, so the next call is sent up to half an interval early or late,
+	// or up to one interval after a retry-after wait.
 	l.tokens = min(l.tokens, s.rng.Float64()-0.5)
 	if l.waitUntil > s.now {
 		l.refilledAt, l.tokens = l.waitUntil, l.tokens+0.5
@@ -129,14 +130,15 @@
 }
 
 // rejectedUnexamined says whether a call was rejected because the connections of many senders left no
-// room for it. Such a rejection carries neither a wait nor a load report, and says nothing about the rate
-// limit.
+// room for it. Such a rejection carries neither a wait nor a load report, and says nothing about the
+// rate limit. It is recognized only where load reports carry the limit.
 func (s *Sender) rejectedUnexamined(r AttemptResult) bool {
 	return s.manySenders && r.Outcome == Rejected && r.RetryAfter == 0 && len(r.Load) == 0 &&
 		s.settings.LimitIndex >= 0
 }
 
-// recordConnRoom records what a result says about the room for connections at the endpoints of a kind.
+// recordConnRoom records what a result says about the room for connections at the endpoints of a kind:
+// the number of new connections accepted since one was rejected, less newConnsBeforeKeeping if one was.
 func (s *Sender) recordConnRoom(a *attempt, r AttemptResult) {
 	switch kind := int(a.endpoint.destination.kind); {
 	case s.rejectedUnexamined(r) || s.settings.LimitIndex < 0 && r.Outcome == Rejected && r.RetryAfter == 0:
@@ -157,17 +159,17 @@
 // retryRejected decides whether and when a rejected message is retried, where the lowest paces of all
 // senders add up to more than the limit. Retries, also those of clients, use up limits that count
 // rejected calls. While few calls to the kind are rejected, the message waits for a random part of its
-// time left, which spreads bursts. When more are rejected, only messages of higher worth are retried, and
-// the others fail.
+// time left, which spreads bursts. When more are rejected, only messages of higher worth are retried.
+// The others fail, as clients would retry refused ones.
 func (s *Sender) retryRejected(m *message, e *endpoint) {
-	rejected := s.rejectedShare[int(e.destination.kind)]
-	if rejected > maxRetryRejectedShare*m.class.Worth/s.meanWorth {
+	rejectedShare := s.rejectedShare[int(e.destination.kind)]
+	if rejectedShare > maxRetryRejectedShare*m.class.Worth/s.meanWorth {
 		s.emit(Fail{ID: m.id})
 		s.forgetMessage(m)
 		return
 	}
-	restShare := (minRestShare + rejected) * (0.5 + s.rng.Float64())
-	m.notBefore = max(s.now, e.limiter.waitUntil) + Micros(restShare*float64(m.deadline-s.now))
+	delayShare := (minRestShare + rejectedShare) * (0.5 + s.rng.Float64())
+	m.notBefore = max(s.now, e.limiter.waitUntil) + Micros(delayShare*float64(m.deadline-s.now))
 }
 
 // recordRejection records a rejection. Rejections in a row over more than the window of a limit, or a
--- a/logic/restart_time.go
+++ b/logic/restart_time.go
@@ -1,10 +1,11 @@
 package logic
 
-// The restart time τ (tau) of a destination. A running attempt older than τ is cancelled and resent,
-// elsewhere if possible. τ is the time that gives the least expected time to an answer if every attempt
-// is restarted at it, computed from a histogram of latencies in which old samples lose weight. It is used
-// only where it is clearly better than waiting. Calls that get no answer for much longer than usual are
-// stuck: they lead to ejection and are cancelled too.
+// The restart time τ (tau) of a destination. A running attempt that is older than τ, and as old as a
+// stuck call, is cancelled and resent, to another endpoint if possible. τ is the time that gives the
+// least expected time to an answer if every attempt is restarted at it, computed from a histogram of
+// latencies in which old samples lose weight. It is used only where it is clearly better than waiting.
+// Calls that get no answer for much longer than usual are stuck: they lead to ejection and are
+// cancelled too.
 
 import (
 	"math"
@@ -21,8 +22,8 @@
 	binCount = 48
 	// Weight of samples from which on τ is used. If it is used earlier, healthy calls are cut off.
 	minTauSamples = 12.0
-	// τ is used only if the expected time with it is below this share of that by waiting. Random variation
-	// alone reaches 0.9.
+	// τ is used only if the expected time with it is below this share of the expected time by waiting.
+	// Random variation alone reaches 0.9.
 	maxTauRatio = 0.85
 	// Cut-offs of one message at most. Each doubles the time limit of the next attempt.
 	maxCutOffs = 2
@@ -121,35 +122,35 @@
 			continue
 		}
 		e, age := a.endpoint, s.now-a.sentAt
-		stuck := s.stuckAfter(e.destination, a.message)
+		stuckAge := s.stuckAfter(e.destination, a.message)
 		if !a.stuck && e.lastSuccessAt < a.sentAt {
-			if a.stuck = age > stuck; a.stuck {
+			if a.stuck = age > stuckAge; a.stuck {
 				// There is no outcome yet, so no failure is certain: eject the endpoint, but set no budget.
 				s.eject(e, "silent")
 				s.markSiblingsHealthy(e)
 			}
 		}
-		if !a.countedLate && age > stuckCancelMultiple*stuck {
-			// A call that is out for longer than usual counts as one that lasts past τ, until it is
-			// answered. Lost answers would otherwise never show in the histogram while all other calls are
-			// quick, and would hold slots until their deadline.
+		if !a.countedLate && age > stuckCancelMultiple*stuckAge {
+			// A call that is in flight for much longer than usual counts as one that lasts past τ,
+			// until it is answered. Lost answers would otherwise never show in the histogram while all
+			// other calls are quick, and would hold slots until their deadline.
 			a.countedLate = true
 			e.destination.histogram.add(s.now, age, true)
 			s.classHistograms[a.message.classIndex].add(s.now, age, true)
 		}
-		if age <= stuckCancelMultiple*stuck {
-			s.wakeBy(a.sentAt + 1 + stuck*Micros(1+min(age/max(stuck, 1), stuckCancelMultiple-1)))
+		if age <= stuckCancelMultiple*stuckAge {
+			s.wakeBy(a.sentAt + 1 + stuckAge*Micros(1+min(age/max(stuckAge, 1), stuckCancelMultiple-1)))
 		}
 		if a.message.ended || !s.settings.MayCancel {
 			continue
 		}
 		if a.message.class.Effect == Unsafe {
-			if age > stuckCancelMultiple*stuck && (oldestUnsafe == nil || a.sentAt < oldestUnsafe.sentAt) {
+			if age > stuckCancelMultiple*stuckAge && (oldestUnsafe == nil || a.sentAt < oldestUnsafe.sentAt) {
 				oldestUnsafe = a
 			}
 			continue
 		}
-		stuckLimit := stuck << a.message.cutOffs
+		stuckLimit := stuckAge << a.message.cutOffs
 		if a.stuck && e.ejected && (age > stuckCancelMultiple*stuckLimit ||
 			age > stuckLimit && s.hasHealthySibling(e)) {
 			a.message.cutOffs = min(a.message.cutOffs+1, maxCutOffs)
--- a/logic/routing.go
+++ b/logic/routing.go
@@ -13,7 +13,7 @@
 const (
 	// An endpoint this many times slower than the fastest of its destination is avoided.
 	slowLatencyMultiple = 3.0
-	// But it is tried again this long after its last call, to see whether it has become faster.
+	// It is tried again this long after its last call, to see whether it has become faster.
 	slowRetryInterval = 4 * Second
 )
 
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -19,15 +19,15 @@
 	maxWait = 24 * maxSpan
 	// Calls a second. A limit above this counts as not known.
 	maxRateRPS = 1e12
-	// Calls a second. A limit below this counts as this.
+	// Calls a second. A limit below this is raised to it.
 	minRateRPS = 1e-3
 )
 
 // ReplaceInvalid replaces figures that are missing or out of range by safe values, where there is one,
 // and returns a line about each. What is still invalid afterwards makes [New] fail.
 func (s *Settings) ReplaceInvalid() (notes []string) {
-	// With too high a number of senders, this one is slow until load reports say how much of a limit is
-	// left. With too low a number, it takes calls from the others.
+	// If the number of senders is too high, this one is slow until load reports say how much of a limit
+	// is left. If it is too low, this one uses up the others' share.
 	replaceOutOfRange(&notes, "Senders", &s.Senders, 1, math.MaxInt, manySendersAbove)
 	replaceOutOfRange(&notes, "Senders", &s.Senders, 1, maxSenders, maxSenders)
 	replaceOutOfRange(&notes, "Zones", &s.Zones, 0, 1<<16, 1)
@@ -47,7 +47,7 @@
 	replaceOutOfRange(&notes, "ColdFrom", &s.ColdFrom, 1e-3, 1, 0.2)
 	replaceOutOfRange(&notes, "WarmAfter", &s.WarmAfter, 1, maxSpan, 14*Second)
 	replaceOutOfRange(&notes, "KeyQuiet", &s.KeyQuiet, 0, maxSpan, 0)
-	for i := range s.Classes { // a message has its own deadline; without a window it is not repeated
+	for i := range s.Classes { // safe, as each message has a TimeLeft and is not repeated without a Window
 		class, name := &s.Classes[i], fmt.Sprintf("Classes[%d].", i)
 		replaceOutOfRange(&notes, name+"Deadline", &class.Deadline, 1, maxSpan, 20*Second)
 		replaceOutOfRange(&notes, name+"Aim", &class.Aim, 0, maxSpan, min(2*Second, class.Deadline))
@@ -96,7 +96,7 @@
 	case settings.MaxRetryAfter < 0:
 		return invalid("MaxRetryAfter")
 	case settings.DrainGrace < 0 || settings.KeyQuiet < 0 || settings.FallWindow < 0 || settings.WarmAfter < 0:
-		return invalid("a span of the rules")
+		return invalid("DrainGrace, KeyQuiet, FallWindow or WarmAfter")
 	case settings.FallMultiple < 0:
 		return invalid("FallMultiple")
 	case settings.ColdFrom < 0 || settings.ColdFrom > 1:
--- a/logic/slow_start.go
+++ b/logic/slow_start.go
@@ -29,10 +29,10 @@
 		})) {
 		return 0
 	}
-	recovered, count, sentTimes, window := 1.0, 0, []Micros(nil), s.settings.FallWindow
+	recovered, endpointCount, sentTimes, window := 1.0, 0, []Micros(nil), s.settings.FallWindow
 	for _, x := range e.destination.endpoints {
 		if (x.recovering || x == e) && x.limiter == e.limiter {
-			count++
+			endpointCount++
 			sentTimes = append(sentTimes, x.sentTimes...)
 			if x.ejected {
 				recovered = min(recovered, 0)
@@ -41,7 +41,7 @@
 			}
 		}
 	}
-	capacity := s.estimatedCapacity(e) * float64(max(count, 1))
+	capacity := s.estimatedCapacity(e) * float64(max(endpointCount, 1))
 	// Calls in the window for each call a second of capacity, at the present stage of the recovery.
 	callsPerRate := s.settings.FallMultiple *
 		(s.settings.ColdFrom + (1-s.settings.ColdFrom)*recovered) * seconds(window)
--- a/logic/state.go
+++ b/logic/state.go
@@ -24,7 +24,7 @@
 	lastUsedAt   Micros    // when the last message for it arrived
 	lastOutageAt Micros    // when its last outage was first noticed
 	queuedAhead  float64   // during dispatch: messages for it that are more urgent and have to wait
-	nextEndpoint int       // index at which the rotation of first attempts goes on
+	nextEndpoint int       // index at which the rotation of first attempts continues
 	kind         int32     // index in Settings.Kinds
 	arrivals     int32     // messages accepted for it since its last outage was noticed
 	messageCount int32     // messages for it in Sender.messages
@@ -35,17 +35,17 @@
 // keeps to because of rejections. Calls take tokens from a bucket that fills at the pace.
 type limiter struct {
 	limit           float64  // rate limit in calls a second for all senders together; 0 if not known
-	limitLeft       float64  // share of the limit that was left by the last report, 0 to 1
+	limitLeft       float64  // unused share of the limit in the last load report, 0 to 1
 	pace            float64  // this sender's calls a second; 0 if it has none
 	halvedAt        Micros   // when the pace was last set or halved
 	tokens          float64  // calls that may be sent at refilledAt; below 0, calls have to wait
 	refilledAt      Micros   // when tokens was last computed
 	waitUntil       Micros   // end of the last retry-after wait
 	firstRejectedAt Micros   // first of the rejections in a row
-	sentTimes       []Micros // recent calls, in order
+	sentTimes       []Micros // send times of recent calls, in order
 	peakRate        float64  // most calls that this sender sent in one second
-	// A random number from 0 to 1, drawn anew for each call. It spreads the next call in time from those of
-	// other senders.
+	// A random number from 0 to 1, drawn anew for each call. During a slow start it spreads the next
+	// call in time from those of other senders.
 	phase                 float64
 	inflight              int32  // calls in flight
 	consecutiveRejections uint16 // in a row, at all endpoints together
@@ -61,13 +61,13 @@
 	state                                      EndpointState
 	ejected                                    bool // taken for down: gets single trial calls only
 	recovering                                 bool // after an outage: budgeted until returnedAt+WarmAfter
-	listed                                     bool // used by removeUnlisted only: on the list at hand
+	listed                                     bool // used by removeUnlisted only: on the list that it applies
 	destination                                *destination
 	limiter                                    *limiter
-	sentTimes                                  []Micros // recent calls, in order
+	sentTimes                                  []Micros // send times of recent calls, in order
 	failureRate                                float64  // smoothed share of calls that failed, 0 to 1
 	lastSuccessAt, lastFailureAt               Micros
-	lastHealthyAt                              Micros  // last answer that shows this endpoint to be healthy
+	lastHealthyAt                              Micros  // latest time at which answers show it to be healthy
 	lastAnsweredSentAt                         Micros  // send time of the latest call that was answered
 	returnedAt                                 Micros  // end of the last outage
 	nextTrialAt, trialInterval                 Micros  // ejected: next trial call, and the time between two
@@ -120,7 +120,8 @@
 	arrivalStep       int  // the Step that accepted it
 	// Was found after a restart, or would expire during one, and has not been sent yet.
 	untried bool
-	// Half of the time that it had when it arrived; it waits no longer than this for the first list.
+	// When half of the time is over that it had on arrival. It waits no longer for the first list after
+	// a start.
 	listWaitUntil Micros
 	lastChanceAt  Micros  // untried: from then on it is sent regardless of the pace
 	priority      float64 // during dispatch: higher goes first
@@ -142,10 +143,10 @@
 	return n
 }
 
-// dropBefore returns the times, which are in order, without those before keep. The last one always stays.
-func dropBefore(times []Micros, keep Micros) []Micros {
+// dropBefore returns the times, which are in order, without those before t. The last one always stays.
+func dropBefore(times []Micros, t Micros) []Micros {
 	i := 0
-	for i < len(times)-1 && times[i] < keep {
+	for i < len(times)-1 && times[i] < t {
 		i++
 	}
 	return times[i:]
@@ -172,13 +173,13 @@
 	orderKeys         map[string]*keyQueue // by order key
 	pruneAbove        [3]int               // sizes above which endpoints, destinations and orderKeys are pruned
 	lastSwept         int                  // index in destinationOrder that sweepIdle looked at last
-	nextWakeAt        Micros               // when there is next something to do; never if nothing
+	nextWakeAt        Micros               // when Step has to be called again; never if only with an event
 	timerAt           Micros               // when the timer in use runs out; 0 if there is none
 	listRequestAt     Micros               // when to request the list; never if no request is due
 	listRetryDelay    Micros               // delay after the next list request that fails
 	listConfirmedAt   Micros               // when the list was last known to be up to date
 	watchOpen         bool                 // changes of the list arrive as they happen
-	listSaved         bool                 // the list is the one saved before the start
+	listSaved         bool                 // the list was saved before the start, and it may lack changes
 	agentUnresponsive bool                 // ListPushed: the last request to the agent got no answer at all
 	// When the first answer arrived that could not be used, since the last one that could; 0 if none did.
 	unusableAnswerAt  Micros
@@ -188,7 +189,7 @@
 	shortestAim       Micros          // shortest Aim of the classes
 	chanceFailureRate float64         // smoothed share of calls that fail by chance, where nothing is down
 	rejectedShare     map[int]float64 // by kind: smoothed share of calls that were rejected
-	newConnsAccepted  map[int]int     // by kind: new connections accepted since one was rejected
+	newConnsAccepted  map[int]int     // by kind: see recordConnRoom
 	meanWorth         float64         // mean of Class.Worth over recent messages
 }
 
@@ -198,7 +199,7 @@
 type histogram struct {
 	bins      *binWeights // nil if all weights are 0
 	total     float64     // weight of the attempts that were answered
-	cutOffs   float64     // weight of the attempts that were cut off or are overdue
+	cutOffs   float64     // weight of the attempts that were cut off or are countedLate
 	updatedAt Micros
 	tau       Micros // restart time; 0 if waiting is best
 	median    Micros
@@ -221,7 +222,7 @@
 	return b.weights[i-b.low]
 }
 
-// discount multiplies all weights by f and drops the bins at both ends whose weight is under
+// discount multiplies all weights by factor and drops the bins at both ends whose weight is under
 // minBinWeight. A weight so small changes no result that is used.
 func (b *binWeights) discount(factor float64) {
 	if b == nil {
@@ -259,7 +260,7 @@
 // emit adds an action to those that Step returns.
 func (s *Sender) emit(a Action) { s.actions = append(s.actions, a) }
 
-// wakeBy sees to it that Step is called again at t at the latest.
+// wakeBy asks for a Step at t at the latest.
 func (s *Sender) wakeBy(t Micros) { s.nextWakeAt = min(s.nextWakeAt, t) }
 
 // removeEndpoint takes an endpoint off the list of its destination. Its state is kept for a while, see
@@ -310,8 +311,9 @@
 	return d
 }
 
-// newLimiter returns a limiter of which nothing is known. Among many senders it starts with a random part
-// of a token, so that senders that start together do not call at the same time.
+// newLimiter returns a limiter of which nothing is known. Among many senders half of a limit counts as
+// left, and it starts with a random part of a token, so that senders that start together do not call at
+// the same time.
 func (s *Sender) newLimiter() *limiter {
 	if !s.manySenders {
 		return &limiter{}
@@ -334,14 +336,14 @@
 		return 0
 	}
 	class := m.class
-	late := float64(t - m.receivedAt - class.Aim)
+	lateness := float64(t - m.receivedAt - class.Aim)
 	switch {
-	case late <= 0:
+	case lateness <= 0:
 		return class.Worth
 	case s.settings.WorthHalves:
-		return class.Worth * max(class.LateWorth, math.Exp2(-late/float64(max(class.Aim, 1))))
+		return class.Worth * max(class.LateWorth, math.Exp2(-lateness/float64(max(class.Aim, 1))))
 	}
-	return class.Worth * (1 - (1-class.LateWorth)*min(1, late/float64(max(class.Deadline-class.Aim, 1))))
+	return class.Worth * (1 - (1-class.LateWorth)*min(1, lateness/float64(max(class.Deadline-class.Aim, 1))))
 }
 
 // destinationPace returns the pace of a destination in calls a second, over all its limiters; 0 if one of
@@ -415,8 +417,8 @@
 
 // pruneTables bounds the size of the tables to a multiple of what is listed and held. It forgets
 // endpoints that were removed and destinations that have neither endpoints nor messages, both after
-// idleStateAge, and order keys without messages or rest. Each table is looked through only when it has
-// doubled since the last time.
+// idleStateAge, and order keys that have no messages and do not rest. Each table is looked through only
+// when it has doubled since the last time.
 func (s *Sender) pruneTables() {
 	idleSince := s.now - idleStateAge
 	if len(s.endpoints) > s.pruneAbove[0] {
@@ -448,7 +450,8 @@
 }
 
 // sweepIdle drops the histograms of destinations that were idle for longer than idleStateAge, a few
-// destinations with each message. The next message would drop them anyway; this frees the memory earlier.
+// destinations with each new message. The next message would drop them anyway; this frees the memory
+// earlier.
 func (s *Sender) sweepIdle() {
 	for range min(destinationsPerSweep, len(s.destinationOrder)) {
 		s.lastSwept = (s.lastSwept + 1) % len(s.destinationOrder)
@@ -469,9 +472,9 @@
 // recordCall records the time of a call to e, for the budget of the slow start and for the pace.
 func (s *Sender) recordCall(e *endpoint) {
 	l := e.limiter
-	keep := s.now - max(s.settings.FallWindow, Second) - 1
-	e.sentTimes, l.sentTimes = append(dropBefore(e.sentTimes, keep), s.now),
-		append(dropBefore(l.sentTimes, keep), s.now)
+	keepFrom := s.now - max(s.settings.FallWindow, Second) - 1
+	e.sentTimes, l.sentTimes = append(dropBefore(e.sentTimes, keepFrom), s.now),
+		append(dropBefore(l.sentTimes, keepFrom), s.now)
 	l.peakRate = max(l.peakRate, float64(countAfter(l.sentTimes, s.now-Second)))
 }
 
@@ -503,8 +506,8 @@
 // seconds returns a span in seconds.
 func seconds(t Micros) float64 { return float64(t) / float64(Second) }
 
-// toMicros returns a number of microseconds as a span from 0 to maxWait. More, or NaN, counts as maxWait,
-// since it might overflow.
+// toMicros returns a number of microseconds as a span from 0 to maxWait. A larger number, which could
+// overflow, and NaN count as maxWait.
 func toMicros(x float64) Micros {
 	if !(x <= float64(maxWait)) {
 		return maxWait
--- a/logic/table_rows.go
+++ b/logic/table_rows.go
@@ -113,7 +113,8 @@
 	}
 }
 
-// count writes or reads the number of fields that follow. It is invalid if it exceeds the bytes left.
+// count writes or reads the number of fields that follow. A row whose number exceeds the bytes left is
+// invalid.
 func (c *rowCodec) count(n int) int {
 	n = int(c.field(uint64(n), 0))
 	if c.decoding && (n < 0 || n > len(c.row)) {
@@ -222,8 +223,9 @@
 	return 0
 }
 
-// TableRows yields the destinations and endpoints, row by row. Listed endpoints follow their destination,
-// in list order; removed ones come at the end. A row is valid until the next one.
+// TableRows yields the destinations and endpoints, row by row. Listed endpoints follow their
+// destination, in list order; removed ones come at the end. The bytes of a row are valid until the next
+// one.
 func (s *Sender) TableRows() iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		c := &rowCodec{now: s.now}
--- a/logic/timer.go
+++ b/logic/timer.go
@@ -4,13 +4,13 @@
 // matters at a time: the earliest time that any decision has asked for by wakeBy.
 
 const (
-	// The state of a destination without traffic is dropped after this time: its samples have lost their
-	// weight.
+	// The state of a destination without traffic is dropped after this time, as its samples have lost
+	// most of their weight.
 	idleStateAge = 4 * histogramHalfLife
 )
 
-// dropIfIdle drops the histogram and the pace of a destination that was idle for longer than idleStateAge
-// when a message for it arrives.
+// dropIfIdle drops the histogram and the pace of a destination that was idle for longer than
+// idleStateAge when a message for it arrives.
 func (s *Sender) dropIfIdle(d *destination) {
 	if s.now-d.lastUsedAt > idleStateAge && d.limiter.inflight == 0 {
 		d.histogram, d.limiter.pace = histogram{}, 0
@@ -18,7 +18,7 @@
 	d.lastUsedAt = s.now
 }
 
-// armTimer sets a timer for the next thing to do, unless one that runs out before is already set.
+// armTimer sets a timer for the time given to wakeBy, unless one that runs out no later is already set.
 func (s *Sender) armTimer() {
 	if s.nextWakeAt == never {
 		return
--- a/logic/types.go
+++ b/logic/types.go
@@ -102,14 +102,16 @@
 
 	ConnIdle  Micros  // idle connections are closed after this time
 	ConnCalls int     // calls that one connection carries at once
-	ConnPrice float64 // points that it costs if each message opens a new connection
+	ConnPrice float64 // charge, in points, if each message opens a new connection
 
 	MaxRetryAfter  Micros  // the longest retry delay that clients observe
 	OverShareWorth float64 // share of its worth that a message over its tenant's quota keeps, 0 to 1
 
-	// How long after the notice that an endpoint drains or is removed calls to it are still allowed.
+	// How long calls to an endpoint are still allowed after the notice that it drains or is removed.
 	DrainGrace Micros
-	MaxListAge Micros // nothing is sent on a list that was confirmed longer ago than this; 0 for no such limit
+	// If the list was confirmed longer ago than this, sends wait for an update for a limited time; 0 for no such
+	// limit.
+	MaxListAge Micros
 
 	// After an outage a destination recovers: its capacity rises linearly from ColdFrom times its whole capacity
 	// to all of it, over WarmAfter. It is overloaded by more than FallMultiple times its present capacity during
@@ -120,7 +122,7 @@
 	WarmAfter    Micros
 	KeyQuiet     Micros // how long an order key rests after an attempt whose end is not certain
 
-	LimitLeftIndex int // index in AttemptResult.Load of the share of the rate limit that is left; -1 if none
+	LimitLeftIndex int // index in AttemptResult.Load of the unused share of the rate limit; -1 if none
 	LimitIndex     int // index in AttemptResult.Load of the rate limit in calls a second; -1 if none
 }
 
@@ -170,7 +172,7 @@
 	ListCached                         // the whole list as saved before the start; it may be out of date
 	ListRequestFailed                  // a request for the list failed, or a watch ended; the list stays in use
 	ListAnswerBegun                    // an answer has begun to arrive and will take some time
-	ListAnswerUnusable                 // an answer arrived that cannot be used; the list is requested again
+	ListAnswerUnusable                 // an answer arrived that cannot be used; the caller requests it again
 	// The list is as it was, and a watch is open: changes arrive as they happen.
 	ListWatchOpen
 )
@@ -214,8 +216,7 @@
 // Unban ends a Ban. The endpoint then counts as recovering, as it may have been restarted meanwhile.
 type Unban struct{ Endpoint EndpointID }
 
-// DiscoveryMoved says that discovery has another address. The reason for which list requests failed may
-// be gone.
+// DiscoveryMoved says that discovery has another address. What made list requests fail may be over.
 type DiscoveryMoved struct{}
 
 // StreamStarted says that the answer to an attempt has begun to stream to the client. The attempt can
@@ -314,7 +315,8 @@
 	RetryIn Micros // when the client should retry; 0 for no advice
 }
 
-// Fail ends a message of which it is not known whether it took effect.
+// Fail ends a message that may have taken effect, or that the client is not to send again although it
+// did not run, since retries would use up a rate limit (see retryRejected).
 type Fail struct{ ID string }
 
 // SetTimer asks for a TimerExpired with this Token after Wait.
