--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -69,7 +69,7 @@
 }
 
 // A connection that breaks before the last byte is written proves that the call did not run.
-func TestBreakBeforeLastByteCountsAsRefused(t *testing.T) {
+func TestBreakBeforeLastByteCountsAsConnRefused(t *testing.T) {
 	small := func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4096)
@@ -101,7 +101,7 @@
 }
 
 // After the last byte is written the call may have run, however the connection ends.
-func TestBreakAfterLastByteCountsAsSevered(t *testing.T) {
+func TestBreakAfterLastByteCountsAsConnBroken(t *testing.T) {
 	e, c := newTestEndpoint(t), newTestTransport()
 	got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
 	await(t, e.calls, "call").reset()
@@ -173,7 +173,7 @@
 
 // An abandoned call must have ended for the endpoint before its outcome is reported: the next attempt would run at the
 // same time otherwise.
-func TestCallIsOverForEndpointBeforeOutcome(t *testing.T) {
+func TestAbandonedCallEndsForEndpointBeforeOutcome(t *testing.T) {
 	e, c := newTestEndpoint(t), newTestTransport()
 	c.linger = 2 * testTimeout // long enough that only the endpoint can end the call
 	ctx, cancel := context.WithCancel(t.Context())
--- a/logic/decision_test.go
+++ b/logic/decision_test.go
@@ -49,8 +49,8 @@
 	var h histogram
 	addSamples(&h, 16, 0.1)
 	h.add(histogramHalfLife, fromSeconds(1), false)
-	if math.Abs(h.total-9) > 1e-9 {
-		t.Errorf("weight of 16 samples after a half-life and a new one: got %v, want 9", h.total)
+	if math.Abs(h.answeredWeight-9) > 1e-9 {
+		t.Errorf("weight of 16 samples after a half-life and a new one: got %v, want 9", h.answeredWeight)
 	}
 	for range 20 {
 		h.add(histogramHalfLife, fromSeconds(1), false)
@@ -432,7 +432,7 @@
 	at := h.serveCalls(1, 10)
 	h.sender.destinations[9].limiter.pace = 1
 	h.step(at+seconds(idleStateAge)+1, h.newMessage(0))
-	if d := h.sender.destinations[9]; d.histogram.total != 0 || d.limiter.pace != 0 {
+	if d := h.sender.destinations[9]; d.histogram.answeredWeight != 0 || d.limiter.pace != 0 {
 		t.Error("a destination idle for longer than idleStateAge kept its histogram or pace")
 	}
 }
@@ -495,9 +495,9 @@
 	}
 	at = h.serveCalls(at, 8)
 	h.step(at, TimerExpired{})
-	if hist := &h.sender.destinations[9].histogram; hist.cutOffs < 0.8 || hist.tau == 0 {
+	if hist := &h.sender.destinations[9].histogram; hist.cutOffWeight < 0.8 || hist.tau == 0 {
 		t.Errorf("lost answers: got %v cut-offs with the calls in flight and a tau of %d us, want at least 0.8 and a tau",
-			hist.cutOffs, hist.tau)
+			hist.cutOffWeight, hist.tau)
 	}
 	cancelled := 0
 	for _, a := range h.sender.attempts {
@@ -509,9 +509,9 @@
 		t.Errorf("%d of %d lost calls were cancelled, want all", cancelled, len(lost))
 	}
 	// A call that is answered in the end does not count as cut off.
-	before := h.sender.destinations[9].histogram.cutOffs
+	before := h.sender.destinations[9].histogram.cutOffWeight
 	h.step(at, resultOf(lost[0].ID, lost[0].Endpoint, 0, Completed))
-	if got := h.sender.destinations[9].histogram.cutOffs; got > before-0.9 {
+	if got := h.sender.destinations[9].histogram.cutOffWeight; got > before-0.9 {
 		t.Errorf("after a late answer %v of %v cut-offs are left, want one less", got, before)
 	}
 }
@@ -856,7 +856,7 @@
 		settings := baseSettings()
 		settings.Senders, settings.ConnIdle, settings.ConnCalls, settings.ConnPrice = senders, 10*Second, 1, 2*highConnPrice
 		h := newHarness(t, settings)
-		h.sender.newConnsAccepted[0] = 1 << 30 // this kind has room for connections
+		h.sender.newConnsSinceRejected[0] = 1 << 30 // this kind has room for connections
 		h.step(0, fullList(3))
 		used := map[EndpointID]bool{}
 		for i := range 6 {
--- a/logic/ending.go
+++ b/logic/ending.go
@@ -50,7 +50,7 @@
 	if prior.Recovered && !prior.MayHaveRun {
 		timeLeft := m.deadline - s.now
 		lastChanceSpan := min(timeLeft, Micros(lastChanceShare*float64(m.class.Deadline)))
-		m.untried = true
+		m.untriedAtRestart = true
 		m.lastChanceAt = m.deadline - lastChanceSpan/3 - Micros(s.rng.Float64()*float64(lastChanceSpan)*2/3)
 	}
 	if prior.Tries == 0 {
@@ -69,7 +69,7 @@
 	s.stopAt = s.now + timeLeft
 	for _, m := range s.openMessages {
 		if m.tries == 0 && m.deadline <= s.stopAt+restartGapMicros {
-			m.untried, m.lastChanceAt = true, s.now
+			m.untriedAtRestart, m.lastChanceAt = true, s.now
 		}
 	}
 }
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -307,7 +307,7 @@
 	case slices.ContainsFunc(target.destination.endpoints, func(sibling *endpoint) bool { return sibling.recovering }):
 		recovery.allowedBy = "budget"
 	}
-	if fs.sender.messages[a.ID].untried {
+	if fs.sender.messages[a.ID].untriedAtRestart {
 		recovery.allowedBy += ", untried"
 	}
 	finishAfter := func(delay Micros, outcome Outcome, retryAfter Micros, load []float64) {
@@ -411,15 +411,15 @@
 
 // fleetResult holds what one run measured.
 type fleetResult struct {
-	worstLoad      float64 // largest calls/bound of all windows
-	worstKnownLoad float64 // the same for windows with over two thirds of the calls from senders that knew of the outage
-	calls          int     // calls in that window
-	bound          float64 // calls allowed in it: n + 2*sqrt(n) + 2, with n = FallMultiple * capacity * FallWindow
-	windowEnd      Micros  // end of that window, since the end of the outage
-	callsByPath    map[string]int
-	recoveredAfter Micros  // from the end of the outage until four fifths of the earlier rate are delivered; -1 if never
-	deliveredShare float64 // share of the messages that were delivered
-	capacityUsed   float64 // deliveries since the end of the outage, over what the capacity allowed
+	worstRatio      float64 // largest calls/bound of all windows
+	worstKnownRatio float64 // the same for windows with over two thirds of the calls from senders that knew of the outage
+	calls           int     // calls in that window
+	bound           float64 // calls allowed in it: n + 2*sqrt(n) + 2, with n = FallMultiple * capacity * FallWindow
+	windowEnd       Micros  // end of that window, since the end of the outage
+	callsByRule     map[string]int
+	recoveredAfter  Micros  // from the end of the outage until four fifths of the earlier rate are delivered; -1 if never
+	deliveredShare  float64 // share of the messages that were delivered
+	capacityUsed    float64 // deliveries since the end of the outage, over what the capacity allowed
 }
 
 // play runs the deployment through its outage and recovery.
@@ -473,15 +473,15 @@
 		bound := f.settings.FallMultiple * f.capacity(call.at) * seconds(f.settings.FallWindow)
 		bound += 2*math.Sqrt(bound) + 2
 		ratio := float64(calls) / bound
-		result.worstLoad = max(result.worstLoad, ratio)
-		if 3*known > 2*calls && ratio > result.worstKnownLoad {
-			result.worstKnownLoad, result.calls, result.bound, result.windowEnd, result.callsByPath =
+		result.worstRatio = max(result.worstRatio, ratio)
+		if 3*known > 2*calls && ratio > result.worstKnownRatio {
+			result.worstKnownRatio, result.calls, result.bound, result.windowEnd, result.callsByRule =
 				ratio, calls, bound, call.at-f.upAt, map[string]int{}
 			for _, other := range f.recoveryCalls[first : i+1] {
 				if !other.senderKnew {
 					other.allowedBy += " of senders without a sign of the outage"
 				}
-				result.callsByPath[other.allowedBy]++
+				result.callsByRule[other.allowedBy]++
 			}
 		}
 	}
@@ -525,10 +525,10 @@
 	return cases
 }
 
-// checkFleetKeepsUp fails if a fleet overloads a recovering destination. It counts the calls of all senders, in windows
+// checkNoFleetOverload fails if a fleet overloads a recovering destination. It counts the calls of all senders, in windows
 // where over two thirds of the calls came from senders that knew of the outage. Each sender knows only what it saw
 // itself.
-func checkFleetKeepsUp(t *testing.T, seeds int, faults ...fault) {
+func checkNoFleetOverload(t *testing.T, seeds int, faults ...fault) {
 	t.Helper()
 	for _, senders := range []int{20, 30, 300, 540} {
 		t.Run(fmt.Sprint(senders), func(t *testing.T) {
@@ -546,19 +546,19 @@
 					result.recoveredAfter = never
 				}
 				recoveryTimes = append(recoveryTimes, result.recoveredAfter)
-				if result.worstKnownLoad > worst.worstKnownLoad {
+				if result.worstKnownRatio > worst.worstKnownRatio {
 					worstCase, worst = deployment, result
 				}
-				if result.worstKnownLoad > 1 {
+				if result.worstKnownRatio > 1 {
 					overloads++
 					t.Errorf("%v: got %d calls in a window %.1f s after the outage, want at most %.1f; calls by rule: %v",
-						deployment, result.calls, seconds(result.windowEnd), result.bound, result.callsByPath)
+						deployment, result.calls, seconds(result.windowEnd), result.bound, result.callsByRule)
 				}
 			}
 			slices.Sort(recoveryTimes)
 			t.Logf("%d senders, %d runs, %d overloads: worst window %.2f of the bound, %d calls of %.1f, %.1f s after, %v\n  %v",
-				senders, runs, overloads, worst.worstKnownLoad, worst.calls, worst.bound, seconds(worst.windowEnd),
-				worst.callsByPath, worstCase)
+				senders, runs, overloads, worst.worstKnownRatio, worst.calls, worst.bound, seconds(worst.windowEnd),
+				worst.callsByRule, worstCase)
 			t.Logf("%d senders: recovered after %.1f s (median), %.1f s (nine in ten); delivered %.2f, capacity used %.2f",
 				senders, seconds(recoveryTimes[runs/2]), seconds(recoveryTimes[runs*9/10]), deliveredShare/float64(runs),
 				capacityUsed/float64(runs))
@@ -567,12 +567,12 @@
 }
 
 func TestFleetDoesNotOverloadARecoveringDestination(t *testing.T) {
-	checkFleetKeepsUp(t, *fleetSeeds, faultHang, faultRefuse, faultReset, faultError)
+	checkNoFleetOverload(t, *fleetSeeds, faultHang, faultRefuse, faultReset, faultError)
 }
 
 // The outage is that the destination rejects all calls unexamined, with neither a retry-after time nor a load report.
 func TestFleetDoesNotOverloadADestinationThatRejectedAll(t *testing.T) {
-	checkFleetKeepsUp(t, 4**fleetSeeds, faultReject)
+	checkNoFleetOverload(t, 4**fleetSeeds, faultReject)
 }
 
 // Guards against a fleet that is slow without an outage: after calls that fail by chance each sender holds messages
--- a/logic/gate.go
+++ b/logic/gate.go
@@ -67,7 +67,7 @@
 		return false, at
 	}
 	if at := s.paceAllowsAt(e.limiter); at > s.now && !s.atLastChance(m) {
-		if m.untried {
+		if m.untriedAtRestart {
 			at = min(at, s.lastChanceAt(m))
 		}
 		return false, at
@@ -78,7 +78,9 @@
 // atLastChance says whether m is sent regardless of the pace: it was accepted before a restart, or would
 // expire in one, has not been sent yet and has little time left. The pace only shares out a limit, while
 // an accepted message is owed an attempt.
-func (s *Sender) atLastChance(m *message) bool { return m.untried && s.now >= s.lastChanceAt(m) }
+func (s *Sender) atLastChance(m *message) bool {
+	return m.untriedAtRestart && s.now >= s.lastChanceAt(m)
+}
 
 // lastChanceAt returns from when on atLastChance holds. The times are random, as many senders may
 // restart together. A message that would expire before a stale list may be used again is sent while the
@@ -96,7 +98,7 @@
 // effect allows it; an unsafe one is lost, so it needs the longer time after which a call counts as
 // stuck.
 func (s *Sender) expectedDuration(m *message, e *endpoint) Micros {
-	if h := &e.destination.histogram; m.class.Effect != Unsafe && h.total >= minSamples {
+	if h := &e.destination.histogram; m.class.Effect != Unsafe && h.answeredWeight >= minSamples {
 		return h.p95
 	}
 	return s.stuckAfter(e.destination, m)
--- a/logic/handover.go
+++ b/logic/handover.go
@@ -19,7 +19,7 @@
 	Stray      float64         // chanceFailureRate
 	MeanWorth  float64         // meanWorth
 	Turned     map[int]float64 // rejectedShare
-	Room       map[int]int     // newConnsAccepted
+	Room       map[int]int     // newConnsSinceRejected
 	AskAt      Micros          // listRequestAt
 	AskGap     Micros          // listRetryDelay
 	ListAt     Micros          // listConfirmedAt
@@ -39,9 +39,10 @@
 	Keys       map[string]savedKeyQueue // orderKeys
 }
 
-// savedHistogram is a histogram. W holds the weights of all bins, and Cuts is cutOffs.
+// savedHistogram is a histogram. W holds the weights of all bins, Total is answeredWeight, and Cuts is
+// cutOffWeight.
 type savedHistogram struct {
-	W           [binCount + 1]float64
+	W           [binEdgeCount + 1]float64
 	Total, Cuts float64
 	At          Micros
 }
@@ -138,7 +139,7 @@
 
 // save returns the histogram in its saved form.
 func (h *histogram) save() savedHistogram {
-	x := savedHistogram{Total: h.total, Cuts: h.cutOffs, At: h.updatedAt}
+	x := savedHistogram{Total: h.answeredWeight, Cuts: h.cutOffWeight, At: h.updatedAt}
 	for i := range x.W {
 		x.W[i] = h.bins.weight(i)
 	}
@@ -147,7 +148,7 @@
 
 // histogram restores the histogram. The restart time and the percentiles are computed anew.
 func (x savedHistogram) histogram() histogram {
-	h := histogram{total: x.Total, cutOffs: x.Cuts, updatedAt: x.At}
+	h := histogram{answeredWeight: x.Total, cutOffWeight: x.Cuts, updatedAt: x.At}
 	low, end := 0, len(x.W)
 	for low < end && x.W[low] == 0 {
 		low++
@@ -158,7 +159,7 @@
 	if low < end {
 		h.bins = &binWeights{low, slices.Clone(x.W[low:end])}
 	}
-	if h.total+max(h.cutOffs, 0) > 0 {
+	if h.answeredWeight+max(h.cutOffWeight, 0) > 0 {
 		h.recompute()
 	}
 	return h
@@ -168,7 +169,7 @@
 func (l *limiter) save() savedLimiter {
 	return savedLimiter{Limit: l.limit, Left: l.limitLeft, Pace: l.pace, Tokens: l.tokens, Peak: l.peakRate,
 		Phase: l.phase, Told: l.limitReported,
-		Halved: l.halvedAt, Filled: l.refilledAt, Until: l.waitUntil, FirstFull: l.firstRejectedAt,
+		Halved: l.paceReducedAt, Filled: l.refilledAt, Until: l.waitUntil, FirstFull: l.firstRejectedAt,
 		Fulls: int(l.consecutiveRejections), Sent: l.sentTimes}
 }
 
@@ -176,7 +177,7 @@
 func (x savedLimiter) limiter() *limiter {
 	return &limiter{limit: x.Limit, limitLeft: x.Left, pace: x.Pace, tokens: x.Tokens, peakRate: x.Peak,
 		phase: x.Phase, limitReported: x.Told,
-		halvedAt: x.Halved, refilledAt: x.Filled, waitUntil: x.Until, firstRejectedAt: x.FirstFull,
+		paceReducedAt: x.Halved, refilledAt: x.Filled, waitUntil: x.Until, firstRejectedAt: x.FirstFull,
 		consecutiveRejections: uint16(min(max(x.Fulls, 0), math.MaxUint16)), sentTimes: x.Sent}
 }
 
@@ -186,7 +187,7 @@
 // save returns the state, with the tables of destinations and endpoints or without them.
 func (s *Sender) save(tables bool) Saved {
 	out := Saved{Now: s.now, Seq: s.lastSeq, Logs: s.logLines, Stray: s.chanceFailureRate,
-		MeanWorth: s.meanWorth, Turned: s.rejectedShare, Room: s.newConnsAccepted,
+		MeanWorth: s.meanWorth, Turned: s.rejectedShare, Room: s.newConnsSinceRejected,
 		AskAt: s.listRequestAt, AskGap: s.listRetryDelay, ListAt: s.listConfirmedAt, Watched: s.watchOpen,
 		Old: s.listSaved, Silent: s.agentUnresponsive, UnusableAt: s.unusableAnswerAt,
 		Banned: slices.Sorted(maps.Keys(s.banned)), Keys: map[string]savedKeyQueue{}}
@@ -215,7 +216,7 @@
 			Share: m.worthShare, Dest: m.destination.id,
 			First: m.receivedAt, Deadline: m.deadline, FirstMay: m.firstMayHaveRunAt, Rest: m.notBefore,
 			MayRun: m.mayHaveRun, Over: m.ended,
-			Flows: m.streaming, MayZone: int(m.mayHaveRunZone), Untried: m.untried, Half: m.listWaitUntil,
+			Flows: m.streaming, MayZone: int(m.mayHaveRunZone), Untried: m.untriedAtRestart, Half: m.listWaitUntil,
 			Chance: m.lastChanceAt}
 		if m.lastEndpoint != nil {
 			x.Last, x.HasLast = m.lastEndpoint.id, true
@@ -290,7 +291,7 @@
 		s.endWatch()
 	}
 	maps.Copy(s.rejectedShare, saved.Turned)
-	maps.Copy(s.newConnsAccepted, saved.Room)
+	maps.Copy(s.newConnsSinceRejected, saved.Room)
 	for _, id := range saved.Banned {
 		s.banned[id] = true
 	}
@@ -350,7 +351,7 @@
 			seq: sm.Seq, receivedAt: sm.First, deadline: sm.Deadline, tries: sm.Tries, cutOffs: sm.Cuts,
 			mayHaveRun:        sm.MayRun,
 			firstMayHaveRunAt: sm.FirstMay, mayHaveRunZone: int32(sm.MayZone), notBefore: sm.Rest,
-			ended: sm.Over, streaming: sm.Flows, untried: sm.Untried,
+			ended: sm.Over, streaming: sm.Flows, untriedAtRestart: sm.Untried,
 			listWaitUntil: sm.Half, lastChanceAt: sm.Chance}
 		if sm.HasLast {
 			m.lastEndpoint = s.endpoints[sm.Last]
--- a/logic/handover_test.go
+++ b/logic/handover_test.go
@@ -123,7 +123,7 @@
 	if sends := actionsOf[CallOut](h.step(100.21, TimerExpired{})); len(sends) != 1 || sends[0].ID != short.ID {
 		t.Errorf("got sends %v, want the message with half of its time left", sends)
 	}
-	if m := h.sender.messages[long.ID]; !m.untried || m.lastChanceAt <= fromSeconds(100) {
+	if m := h.sender.messages[long.ID]; !m.untriedAtRestart || m.lastChanceAt <= fromSeconds(100) {
 		t.Errorf("recovered message after the handover: got %+v, want it untried with its last chance ahead", m)
 	}
 }
--- a/logic/membership.go
+++ b/logic/list_lease.go
@@ -237,7 +237,7 @@
 // savedListWaitUntil returns until when sends wait for the first answer after a start on a saved list. A
 // message that a restart found untried waits for half of its time left at most.
 func (s *Sender) savedListWaitUntil(m *message) Micros {
-	if m.untried {
+	if m.untriedAtRestart {
 		return min(s.listConfirmedAt+maxSavedListWaitMicros, m.listWaitUntil)
 	}
 	return s.listConfirmedAt + maxSavedListWaitMicros
--- a/logic/list_lease_test.go
+++ b/logic/list_lease_test.go
@@ -16,24 +16,24 @@
 	watchWait             = 18 * Second // how long a watch waits for an update
 	watchLimit            = 19 * Second // after this the client gives up a watch without an answer
 	watchReportedMicros   = 2200_000    // after this the client reports that the watch is open
-	slackMicros           = 50_000      // tolerance of the check
+	toleranceMicros       = 50_000      // tolerance of the check
 	discoveryAnswerMicros = 20_000      // time to an answer of discovery, once it can be reached
 	maxListAgeMicros      = 5800_000    // as the program sets it, in addition to the drain grace
 )
 
-// failedListCall is a way in which a list request fails.
-type failedListCall struct {
+// failedListRequest is a way in which a list request fails.
+type failedListRequest struct {
 	name     string
 	duration Micros
 	watch    bool
 }
 
-var failedListCalls = []failedListCall{{"refused", 500, false}, {"reset", 30_000, false}, {"silent", 2 * Second, false},
+var failedListRequests = []failedListRequest{{"refused", 500, false}, {"reset", 30_000, false}, {"silent", 2 * Second, false},
 	{"silent watch", watchLimit, true}, {"nonsense", 12_000, false}, {"503", 15_000, false}}
 
 // drainSlack runs one sender through list requests that fail, with an endpoint that begins to drain at a given time. It
 // returns by how much the last call to that endpoint came before the end of the drain grace.
-func drainSlack(t *testing.T, senders int, failedBefore int, failing []failedListCall, change, grace Micros,
+func drainSlack(t *testing.T, senders int, failedBefore int, failing []failedListRequest, change, grace Micros,
 	seed uint64) (slack Micros) {
 	t.Helper()
 	settings := baseSettings()
@@ -62,7 +62,7 @@
 		now, ev := queue[next].at, queue[next].ev
 		queue = append(queue[:next], queue[next+1:]...)
 		if knownAt != never && now > knownAt+grace+3*Second {
-			return knownAt + grace + slackMicros - lastSend
+			return knownAt + grace + toleranceMicros - lastSend
 		}
 		if ev == nil {
 			ev = h.newMessage(0)
@@ -109,17 +109,17 @@
 
 // Guards against sends to a draining endpoint after the change counts as known and the drain grace is over. They come
 // about when list requests fail: here three of them, in each order, after some time without discovery or none.
-func TestNoSendAfterDrainGraceDespiteFailedListCalls(t *testing.T) {
+func TestNoSendAfterDrainGraceDespiteFailedListRequests(t *testing.T) {
 	for _, senders := range []int{2, 36, 80, 540} {
 		worst, worstText := never, ""
 		n := uint64(0)
-		for _, a := range failedListCalls {
-			for _, b := range failedListCalls {
-				for _, c := range failedListCalls {
+		for _, a := range failedListRequests {
+			for _, b := range failedListRequests {
+				for _, c := range failedListRequests {
 					for _, change := range []Micros{-Second, Second, 4 * Second, 12 * Second} { // since the last failed request began
 						n++
 						grace := []Micros{Second, Second / 4}[n%2]
-						failing := []failedListCall{a, b, c}
+						failing := []failedListRequest{a, b, c}
 						slack := drainSlack(t, senders, int(n/2%4), failing, change, grace, n)
 						if slack < worst {
 							worst, worstText = slack, fmt.Sprintf("%s, %s, %s, change at %d, grace %d",
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,6 +1,6 @@
 package logic
 
-// A Sender's decisions, one file for each: the endpoint list (membership.go for how long it may be
+// A Sender's decisions, one file for each: the endpoint list (list_lease.go for how long it may be
 // used, endpoint_list.go for its entries and bans), which message goes first (queue.go), where it goes
 // (routing.go), what must hold before it is sent (gate.go), outlier ejection (ejection.go), slow start
 // after an outage (slow_start.go), rate limits (rate_limit.go), the restart time τ at which slow calls
@@ -39,7 +39,7 @@
 		endpoints:      map[EndpointID]*endpoint{}, banned: map[EndpointID]bool{},
 		destinations: map[int64]*destination{},
 		messages:     map[string]*message{}, orderKeys: map[string]*keyQueue{}, rejectedShare: map[int]float64{},
-		newConnsAccepted: map[int]int{}}
+		newConnsSinceRejected: map[int]int{}}
 	if settings.ListOnRequest {
 		s.listRequestAt = math.MinInt64
 	}
--- a/logic/memory_test.go
+++ b/logic/memory_test.go
@@ -186,7 +186,7 @@
 
 // denseHistogram is a histogram that stores all of its bins.
 type denseHistogram struct {
-	weights [binCount + 1]float64
+	weights [binEdgeCount + 1]float64
 	histogram
 }
 
@@ -196,12 +196,12 @@
 	for i := range h.weights {
 		h.weights[i] *= factor
 	}
-	h.total, h.cutOffs = h.total*factor, h.cutOffs*factor
+	h.answeredWeight, h.cutOffWeight = h.answeredWeight*factor, h.cutOffWeight*factor
 	if cutOff {
-		h.cutOffs++
+		h.cutOffWeight++
 	} else {
 		h.weights[binIndex(duration)]++
-		h.total++
+		h.answeredWeight++
 	}
 	h.bins = &binWeights{0, h.weights[:]}
 	h.recompute()
@@ -226,8 +226,8 @@
 			}
 			dense.add(now, duration, cutOff)
 			sparse.add(now, duration, cutOff)
-			enoughSamples := dense.total >= minSamples
-			if sparse.total != dense.total || sparse.cutOffs != dense.cutOffs || sparse.tau != dense.tau ||
+			enoughSamples := dense.answeredWeight >= minSamples
+			if sparse.answeredWeight != dense.answeredWeight || sparse.cutOffWeight != dense.cutOffWeight || sparse.tau != dense.tau ||
 				enoughSamples && (sparse.median != dense.median || sparse.p95 != dense.p95) {
 				t.Fatalf("seed %d, sample %d: got %+v, want %+v as with all bins", seed, i, sparse, dense.histogram)
 			}
--- a/logic/outcome.go
+++ b/logic/outcome.go
@@ -46,7 +46,7 @@
 		m.mayHaveRun = true
 	}
 	if result.Outcome != ConnRefused && result.Outcome != NotSent {
-		m.untried = false
+		m.untriedAtRestart = false
 	}
 	if m.keyQueue != nil && (result.Outcome == TimedOut || result.Outcome == ConnBroken ||
 		result.Outcome == Cancelled) {
@@ -56,7 +56,7 @@
 	case Completed:
 		for _, h := range []*histogram{&e.destination.histogram, &s.classHistograms[m.classIndex]} {
 			if a.countedLate {
-				h.cutOffs--
+				h.cutOffWeight--
 			}
 			h.add(s.now, result.Duration, false)
 		}
--- a/logic/queue.go
+++ b/logic/queue.go
@@ -52,10 +52,10 @@
 
 // usualLatency returns the median latency of m's destination, else of its class; 0 if neither is known.
 func (s *Sender) usualLatency(m *message) Micros {
-	if m.destination.histogram.total >= minSamples {
+	if m.destination.histogram.answeredWeight >= minSamples {
 		return m.destination.histogram.median
 	}
-	if h := &s.classHistograms[m.classIndex]; h.total >= minSamples {
+	if h := &s.classHistograms[m.classIndex]; h.answeredWeight >= minSamples {
 		return h.median
 	}
 	return 0
@@ -76,7 +76,7 @@
 	}
 	slices.SortStableFunc(queue, func(a, b *message) int { return cmp.Compare(b.priority, a.priority) })
 	leastUrgent := len(queue) - 1
-	for leastUrgent >= 0 && queue[leastUrgent].untried {
+	for leastUrgent >= 0 && queue[leastUrgent].untriedAtRestart {
 		leastUrgent--
 	}
 	for i, m := range queue {
@@ -88,7 +88,7 @@
 		// room it stays, as paces and limits recover.
 		pace := s.destinationPace(m.destination)
 		tooLate := pace > 0 && m.destination.queuedAhead/pace > seconds(m.deadline-s.now-s.usualLatency(m))
-		if tooLate && s.openShare() > queueTightShare && !m.untried {
+		if tooLate && s.openShare() > queueTightShare && !m.untriedAtRestart {
 			s.endMessage(m)
 			continue
 		}
--- a/logic/rate_limit.go
+++ b/logic/rate_limit.go
@@ -28,7 +28,7 @@
 	// A pace of this many times the calls that are sent has no effect and is dropped.
 	dropPaceMultiple = 4.0
 	// Many senders: longest mean time between calls of a limiter after a rejection.
-	maxMeanRest = 8 * Second
+	maxMeanCallInterval = 8 * Second
 	// Rejections in a row that look like an unavailable destination ...
 	downRejections = 4
 	// ... if they span more than this time: by then the window of a limit would have passed, and some
@@ -39,11 +39,11 @@
 	// Share of rejected calls above which a rejected message of mean worth is not retried.
 	maxRetryRejectedShare = 0.2
 	// New connections that have to be accepted after a rejected one before idle connections may be kept.
-	newConnsBeforeKeeping = 60
+	newConnsBeforeKept = 60
 	// Further new connections accepted until every second idle connection is kept.
 	newConnsForHalfKept = 10.0
 	// Lowest mean delay of a rejected message, as a share of the time that it has left.
-	minRestShare = 0.1
+	minRetryDelayShare = 0.1
 )
 
 // paceAllowsAt returns when the limiter allows its next call; 0 if now. It fills the token bucket up to
@@ -83,20 +83,20 @@
 // reducePace lowers the pace after a rejection: the first pace is the rate of the last second, and a pace
 // is halved at most once in paceInterval.
 func (s *Sender) reducePace(l *limiter) {
-	if s.now < l.halvedAt+paceInterval && l.pace > 0 {
+	if s.now < l.paceReducedAt+paceInterval && l.pace > 0 {
 		return
 	}
 	switch lowest := s.minPace(l); {
 	// Many senders: wait long, since the first calls of all of them together would keep the limit used
 	// up.
 	case s.manySenders && lowest < minPaceRPS && l.waitUntil <= s.now:
-		l.pace = max(lowest, 1/seconds(maxMeanRest))
+		l.pace = max(lowest, 1/seconds(maxMeanCallInterval))
 	case s.manySenders && lowest < minPaceRPS || l.pace == 0:
 		l.pace = max(lowest, float64(countAfter(l.sentTimes, s.now-paceInterval)))
 	default:
 		l.pace = max(lowest, l.pace/2)
 	}
-	l.halvedAt = s.now
+	l.paceReducedAt = s.now
 	s.paceAllowsAt(l)
 	// Other senders were rejected too, so the next call is sent up to half an interval early or late,
 	// or up to one interval after a retry-after wait.
@@ -138,13 +138,13 @@
 }
 
 // recordConnRoom records what a result says about the room for connections at the endpoints of a kind:
-// the number of new connections accepted since one was rejected, less newConnsBeforeKeeping if one was.
+// the number of new connections accepted since one was rejected, less newConnsBeforeKept if one was.
 func (s *Sender) recordConnRoom(a *attempt, r AttemptResult) {
 	switch kind := int(a.endpoint.destination.kind); {
 	case s.rejectedUnexamined(r) || s.settings.LimitIndex < 0 && r.Outcome == Rejected && r.RetryAfter == 0:
-		s.newConnsAccepted[kind] = -newConnsBeforeKeeping
+		s.newConnsSinceRejected[kind] = -newConnsBeforeKept
 	case a.newConn:
-		s.newConnsAccepted[kind]++
+		s.newConnsSinceRejected[kind]++
 	}
 }
 
@@ -152,7 +152,7 @@
 // connections sees no rejected ones, so that senders that all keep theirs notice too late that they use
 // up a kind's connections. The more new connections were accepted, the more are kept.
 func (s *Sender) keepsIdleConn(e *endpoint) bool {
-	accepted := float64(s.newConnsAccepted[int(e.destination.kind)])
+	accepted := float64(s.newConnsSinceRejected[int(e.destination.kind)])
 	return accepted > 0 && s.rng.Float64() < accepted/(accepted+newConnsForHalfKept)
 }
 
@@ -168,7 +168,7 @@
 		s.forgetMessage(m)
 		return
 	}
-	delayShare := (minRestShare + rejectedShare) * (0.5 + s.rng.Float64())
+	delayShare := (minRetryDelayShare + rejectedShare) * (0.5 + s.rng.Float64())
 	m.notBefore = max(s.now, e.limiter.waitUntil) + Micros(delayShare*float64(m.deadline-s.now))
 }
 
--- a/logic/restart_time.go
+++ b/logic/restart_time.go
@@ -19,7 +19,7 @@
 	// Each edge divided by the one before. Finer bins would need more samples.
 	binRatio = 1.25
 	// Number of edges; the last one is near 70 s. One more bin holds the latencies above it.
-	binCount = 48
+	binEdgeCount = 48
 	// Weight of samples from which on τ is used. If it is used earlier, healthy calls are cut off.
 	minTauSamples = 12.0
 	// τ is used only if the expected time with it is below this share of the expected time by waiting.
@@ -38,7 +38,7 @@
 )
 
 // binEdges are the upper edges of the histogram's bins.
-var binEdges = func() (e [binCount]Micros) {
+var binEdges = func() (e [binEdgeCount]Micros) {
 	x := float64(firstBinEdgeMicros)
 	for i := range e {
 		e[i] = Micros(x)
@@ -53,12 +53,12 @@
 	factor := math.Exp2(-float64(now-h.updatedAt) / float64(histogramHalfLife))
 	h.updatedAt = now
 	h.bins.discount(factor)
-	h.total, h.cutOffs = h.total*factor, h.cutOffs*factor
+	h.answeredWeight, h.cutOffWeight = h.answeredWeight*factor, h.cutOffWeight*factor
 	if cutOff {
-		h.cutOffs++
+		h.cutOffWeight++
 	} else {
 		h.addSample(binIndex(latency))
-		h.total++
+		h.answeredWeight++
 	}
 	h.recompute()
 }
@@ -69,7 +69,7 @@
 // waiting.
 func (h *histogram) recompute() {
 	h.tau, h.median, h.p95 = 0, 0, 0
-	all := h.total + max(h.cutOffs, 0)
+	all := h.answeredWeight + max(h.cutOffWeight, 0)
 	var answered, latencySum float64
 	bestExpected, bestEdge, expected := math.Inf(1), Micros(0), math.Inf(1)
 	for i, edge := range binEdges {
@@ -80,10 +80,10 @@
 		weight := h.bins.weight(i)
 		answered += weight
 		latencySum += weight * float64(lower+edge) / 2
-		if h.median == 0 && answered >= h.total/2 {
+		if h.median == 0 && answered >= h.answeredWeight/2 {
 			h.median = edge
 		}
-		if h.p95 == 0 && answered >= 0.95*h.total {
+		if h.p95 == 0 && answered >= 0.95*h.answeredWeight {
 			h.p95 = edge
 		}
 		if answered == 0 {
@@ -95,7 +95,7 @@
 			bestExpected, bestEdge = expected, edge
 		}
 	}
-	if h.total >= minTauSamples && bestExpected < maxTauRatio*expected {
+	if h.answeredWeight >= minTauSamples && bestExpected < maxTauRatio*expected {
 		h.tau = bestEdge
 	}
 }
@@ -104,10 +104,10 @@
 // latencies of the destination, else of the message's class.
 func (s *Sender) stuckAfter(d *destination, m *message) Micros {
 	h := &d.histogram
-	if h.total < minSamples {
+	if h.answeredWeight < minSamples {
 		h = &s.classHistograms[m.classIndex]
 	}
-	if h.total < minSamples {
+	if h.answeredWeight < minSamples {
 		return defaultStuckAfter
 	}
 	return max(Micros(stuckP95Multiple*float64(h.p95)), 3*h.median, minStuckAfter)
@@ -158,7 +158,7 @@
 			continue
 		}
 		h := &e.destination.histogram
-		if h.total < minTauSamples {
+		if h.answeredWeight < minTauSamples {
 			h = &s.classHistograms[a.message.classIndex]
 		}
 		if h.tau > 0 && s.mayCutOff(a) {
--- a/logic/source_limits_test.go
+++ b/logic/source_limits_test.go
@@ -9,7 +9,7 @@
 
 // TestSourceFileLimits bounds the length and width of the program files of package logic, so that they stay readable.
 func TestSourceFileLimits(t *testing.T) {
-	names := []string{"logic.go", "types.go", "state.go", "settings.go", "membership.go", "endpoint_list.go", "queue.go",
+	names := []string{"logic.go", "types.go", "state.go", "settings.go", "list_lease.go", "endpoint_list.go", "queue.go",
 		"routing.go", "gate.go", "ejection.go", "slow_start.go", "rate_limit.go", "restart_time.go", "outcome.go",
 		"ending.go", "timer.go"}
 	for _, name := range names {
--- a/logic/state.go
+++ b/logic/state.go
@@ -37,7 +37,7 @@
 	limit           float64  // rate limit in calls a second for all senders together; 0 if not known
 	limitLeft       float64  // unused share of the limit in the last load report, 0 to 1
 	pace            float64  // this sender's calls a second; 0 if it has none
-	halvedAt        Micros   // when the pace was last set or halved
+	paceReducedAt   Micros   // when the pace was last set or halved
 	tokens          float64  // calls that may be sent at refilledAt; below 0, calls have to wait
 	refilledAt      Micros   // when tokens was last computed
 	waitUntil       Micros   // end of the last retry-after wait
@@ -61,7 +61,7 @@
 	state                                      EndpointState
 	ejected                                    bool // taken for down: gets single trial calls only
 	recovering                                 bool // after an outage: budgeted until returnedAt+WarmAfter
-	listed                                     bool // used by removeUnlisted only: on the list that it applies
+	inListUpdate                               bool // used by removeUnlisted only: on the list that it applies
 	destination                                *destination
 	limiter                                    *limiter
 	sentTimes                                  []Micros // send times of recent calls, in order
@@ -119,11 +119,11 @@
 	streaming         bool // an answer is streaming to the client: neither cancelled nor resent
 	arrivalStep       int  // the Step that accepted it
 	// Was found after a restart, or would expire during one, and has not been sent yet.
-	untried bool
+	untriedAtRestart bool
 	// When half of the time is over that it had on arrival. It waits no longer for the first list after
 	// a start.
 	listWaitUntil Micros
-	lastChanceAt  Micros  // untried: from then on it is sent regardless of the pace
+	lastChanceAt  Micros  // untriedAtRestart: from then on it is sent regardless of the pace
 	priority      float64 // during dispatch: higher goes first
 }
 
@@ -182,28 +182,28 @@
 	listSaved         bool                 // the list was saved before the start, and it may lack changes
 	agentUnresponsive bool                 // ListPushed: the last request to the agent got no answer at all
 	// When the first answer arrived that could not be used, since the last one that could; 0 if none did.
-	unusableAnswerAt  Micros
-	stopAt            Micros // when this sender stops; 0 if no stop is announced
-	logLines          int
-	manySenders       bool            // more senders than manySendersAbove
-	shortestAim       Micros          // shortest Aim of the classes
-	chanceFailureRate float64         // smoothed share of calls that fail by chance, where nothing is down
-	rejectedShare     map[int]float64 // by kind: smoothed share of calls that were rejected
-	newConnsAccepted  map[int]int     // by kind: see recordConnRoom
-	meanWorth         float64         // mean of Class.Worth over recent messages
+	unusableAnswerAt      Micros
+	stopAt                Micros // when this sender stops; 0 if no stop is announced
+	logLines              int
+	manySenders           bool            // more senders than manySendersAbove
+	shortestAim           Micros          // shortest Aim of the classes
+	chanceFailureRate     float64         // smoothed share of calls that fail by chance, where nothing is down
+	rejectedShare         map[int]float64 // by kind: smoothed share of calls that were rejected
+	newConnsSinceRejected map[int]int     // by kind: see recordConnRoom
+	meanWorth             float64         // mean of Class.Worth over recent messages
 }
 
 // histogram is a latency histogram in which old samples lose weight, see restart_time.go. The median and
 // the 95th percentile are upper edges of bins, over all attempts that were answered; 0 if there is no
 // sample.
 type histogram struct {
-	bins      *binWeights // nil if all weights are 0
-	total     float64     // weight of the attempts that were answered
-	cutOffs   float64     // weight of the attempts that were cut off or are countedLate
-	updatedAt Micros
-	tau       Micros // restart time; 0 if waiting is best
-	median    Micros
-	p95       Micros
+	bins           *binWeights // nil if all weights are 0
+	answeredWeight float64     // weight of the attempts that were answered
+	cutOffWeight   float64     // weight of the attempts that were cut off or are countedLate
+	updatedAt      Micros
+	tau            Micros // restart time; 0 if waiting is best
+	median         Micros
+	p95            Micros
 }
 
 // binWeights holds the weights from the lowest to the highest bin in use. A destination's latencies lie
@@ -556,20 +556,20 @@
 func (s *Sender) removeUnlisted(entries []Entry) {
 	for _, entry := range entries {
 		if e := s.endpoints[entry.Endpoint]; e != nil {
-			e.listed = true
+			e.inListUpdate = true
 		}
 	}
 	for _, d := range s.destinationOrder {
 		d.endpoints = slices.DeleteFunc(d.endpoints, func(e *endpoint) bool {
-			if !e.listed {
+			if !e.inListUpdate {
 				e.state, e.removedAt = Removed, s.now
 			}
-			return !e.listed
+			return !e.inListUpdate
 		})
 	}
 	for _, entry := range entries {
 		if e := s.endpoints[entry.Endpoint]; e != nil {
-			e.listed = false
+			e.inListUpdate = false
 		}
 	}
 }
--- a/logic/table_rows.go
+++ b/logic/table_rows.go
@@ -143,7 +143,7 @@
 	}
 	integerField(c, &b.low)
 	n := c.count(len(b.weights))
-	if c.decoding && (b.low < 0 || b.low+n > binCount+1) {
+	if c.decoding && (b.low < 0 || b.low+n > binEdgeCount+1) {
 		c.invalid, n = true, 0
 	}
 	if c.decoding && n > 0 {
@@ -153,10 +153,10 @@
 	for i := range b.weights {
 		c.float(&b.weights[i])
 	}
-	c.float(&h.total)
-	c.float(&h.cutOffs)
+	c.float(&h.answeredWeight)
+	c.float(&h.cutOffWeight)
 	c.timestamp(&h.updatedAt, 0)
-	if c.decoding && h.total >= minSamples { // the percentiles are used before the next sample
+	if c.decoding && h.answeredWeight >= minSamples { // the percentiles are used before the next sample
 		h.recompute()
 	}
 }
@@ -173,7 +173,7 @@
 	c.flags(&l.limitReported)
 	integerField(c, &l.consecutiveRejections)
 	c.float(&l.pace)
-	c.timestamp(&l.halvedAt, 0)
+	c.timestamp(&l.paceReducedAt, 0)
 	c.timestamp(&l.waitUntil, 0)
 	c.timestamp(&l.firstRejectedAt, 0)
 }
