--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// maxTransferTime is the longest time that a state transfer takes. A longer difference between the wall clocks is a
-// step.
+// maxTransferTime is the longest time that a state transfer takes. If more time has passed on the wall clock meanwhile,
+// it was stepped.
 const maxTransferTime = 5 * time.Second
 
 // Clock is a timeline in Unix microseconds. It is created by New and safe for concurrent use.
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,14 +10,14 @@
 func TestClockFollowsMonotonicTimeAndConvertsBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New()
-		begun := c.NowMicros()
+		startMicros := c.NowMicros()
 		time.Sleep(3 * time.Second)
-		if got := c.NowMicros() - begun; got != 3_000_000 {
+		if got := c.NowMicros() - startMicros; got != 3_000_000 {
 			t.Errorf("the clock advanced by %d us in 3 s", got)
 		}
-		due := c.Time(begun + 5_000_000)
-		if got := time.Until(due); got != 2*time.Second || c.Micros(due) != begun+5_000_000 {
-			t.Errorf("due in %v, at %d us", got, c.Micros(due)-begun)
+		due := c.Time(startMicros + 5_000_000)
+		if got := time.Until(due); got != 2*time.Second || c.Micros(due) != startMicros+5_000_000 {
+			t.Errorf("due in %v, at %d us", got, c.Micros(due)-startMicros)
 		}
 	})
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -2,6 +2,11 @@
 //
 // Client calls discovery over HTTP: for the whole list first and then, as a long poll, for what has changed since the
 // generation that it knows. Directory is the replica, and Store keeps it on disk for the next start.
+//
+// A change of the list counts as known from the time at which the sender has to act on it, whether or not it has
+// arrived. Where the sender requests the list, that is 6 s after discovery had the change and could be reached, or
+// later after a call without an answer. Where an agent on the sender's machine gets the list pushed, it is as soon as
+// the agent has the change.
 package discovery
 
 import (
@@ -22,8 +27,8 @@
 const (
 	// How long discovery may hold a watch while nothing changes; a watch that gets no answer is noticed soon after.
 	watchHoldTime = 4 * time.Second
-	// How much later the answer to a watch may begin. Where it does not come, changes count as known 2 s after the
-	// hold.
+	// How much later the answer to a watch may begin. If there is no answer, changes count as known 2 s after the end
+	// of the hold time.
 	watchAnswerMargin = time.Second
 	listTimeout       = 2 * time.Second // until the whole list begins to arrive; discovery sends it at once if at all
 
@@ -33,7 +38,7 @@
 
 	// SpreadMinSenders is the number of senders from which on their calls are spread.
 	SpreadMinSenders = 8
-	// Hold time of a watch then: with the answer margin and a pause, a change is in force within 17 s.
+	// Hold time of a watch of so many senders: with the answer margin and a pause, a change is in force within 17 s.
 	spreadWatchHoldTime = 13 * time.Second
 	busyAnswerTime      = 1300 * time.Millisecond // an answer with changes that took longer is followed by a pause
 	pausePerSender      = 145 * time.Millisecond  // mean of that pause, for each sender
@@ -46,7 +51,7 @@
 	// Time that discovery needs for a call without changes. A pause of maxFirstPause spreads the calls of a fleet
 	// widely enough only if they take no longer than that in total.
 	serviceTimePerCall = 50 * time.Millisecond
-	// An answer that need not wait for a change comes sooner than this, unless discovery is busy.
+	// An answer that need not wait for a change arrives sooner than this, unless discovery is busy.
 	promptAnswerTime = 25 * time.Millisecond
 	promptHoldTime   = time.Millisecond // hold time of the call that asks for such an answer
 
@@ -54,7 +59,7 @@
 	acceptanceDelay = 2200 * time.Millisecond
 	// MaxListAge is the age of the last answer from which on changes since then count as known: slightly less than 6 s.
 	MaxListAge         = 5800 * time.Millisecond
-	minEmptyAnswerTime = 100 * time.Millisecond // an empty answer that comes sooner did not wait: a backoff follows
+	minEmptyAnswerTime = 100 * time.Millisecond // an empty answer that arrives sooner did not wait: a backoff follows
 	maxBadAnswers      = 5                      // unusable answers in a row after which the watch counts as failed
 	initialBackoff     = 100 * time.Millisecond // mean backoff after an unusable answer, doubled after each further one
 	// Longest mean backoff: with a quarter more, and the next call, it stays under 6 s.
@@ -66,12 +71,13 @@
 	readBufferBytes     = 64 << 10 // of an answer
 	// Longest time between the bytes of an answer that has begun; an answer as a whole may take that long in any case.
 	stallTimeout      = 2 * time.Second
-	minBytesPerSecond = 128 << 10              // an answer may take a second more for each so many bytes
-	warningInterval   = time.Second            // between two warnings of failed calls
-	typicalRowBytes   = 200                    // size of a row, to estimate the size of an answer
-	minTimedBytes     = 64 << 10               // bytes of an answer that extend its time, however short the known list is
-	maxTrailingBytes  = 4 << 10                // bytes after a list that are read, to reuse the connection
-	trailingTimeout   = 100 * time.Millisecond // for reading them
+	minBytesPerSecond = 128 << 10   // an answer may take a second more for each so many bytes
+	warningInterval   = time.Second // between two warnings of failed calls, for pushed lists
+	typicalRowBytes   = 200         // size of a row, to estimate the size of an answer
+	// So many bytes of an answer extend its time, however short the known list is.
+	minTimedBytes    = 64 << 10
+	maxTrailingBytes = 4 << 10                // bytes after a list that are read, to reuse the connection
+	trailingTimeout  = 100 * time.Millisecond // for reading them
 )
 
 var (
@@ -125,7 +131,7 @@
 	generation    int64         // generation of the list that the receiver of the events has
 	restarted     bool          // this is a restart, not a first start
 	firstCallMade bool          // the first call has been made
-	meanBackoff   time.Duration // mean pause after the last unusable answer; 0 after a usable one
+	meanBackoff   time.Duration // mean of the last backoff; 0 after an answer that needed none
 	olderSince    time.Time     // since when all answers are older than the known list; zero if the last one was not
 	lastWarningAt time.Time     // when a failed call was last logged as a warning
 	unsavedUpdate *Update       // the update that is yet to be saved
@@ -177,15 +183,15 @@
 // Each call follows the last answer at once, so that no change is missed in between, unless discovery is overloaded:
 // then many senders pause first. Whether it is overloaded shows in the first call, which many senders make with a
 // minimal hold time; the duration of a watch shows only when something changed. A restarted sender makes the first call
-// at once, as changes that the answer would hold count as known. At a first start the list is new, and the calls of a
-// fleet are spread by a random pause.
+// at once, as changes that the answer would contain count as known. At a first start the list is new, and the calls of
+// a fleet are spread by a random pause.
 //
 // Where lists are pushed, the first call of each watch has a minimal hold time too: it shows at once which list the
 // agent has, or that it does not answer.
 //
-// An answer with a lower generation than the known one is rejected: it may be a late answer. If such answers go on, for
-// maxBadAnswers in a row and for renumberingDelay, discovery has restarted its generations, and the next call asks for
-// the whole list. So does the first call to another address, whose generations need not be the same.
+// An answer with a lower generation than the known one is rejected: it may be a late answer. If such answers continue
+// for maxBadAnswers in a row and for renumberingDelay, discovery has restarted its generations, and the next call asks
+// for the whole list. So does the first call to another address, whose generations need not be the same.
 func (c *Client) Watch(ctx context.Context) {
 	if c.timing.firstPause > 0 && !c.firstCallMade && !c.restarted {
 		c.wait(ctx, time.Duration(c.rng.Int64N(int64(c.timing.firstPause))))
@@ -232,7 +238,7 @@
 		}
 		if badAnswers++; badAnswers < maxBadAnswers && unusable {
 			pause := c.nextBackoff()
-			c.log.Log(ctx, c.failureLogLevel(), "discovery sent an unusable answer; keeping the known list",
+			c.log.Log(ctx, c.failureLogLevel(), "discovery, the list stays as it is",
 				"err", err, "known", c.generation, "again in", pause.String())
 			c.wait(ctx, pause) // not for long: changes in the unusable answer count as known
 			continue
@@ -357,8 +363,8 @@
 	return a.list, a.err
 }
 
-// saveUpdate saves the last update on disk once it is applied: the update alone, or the whole list. After a list that
-// found no room it waits until the list is a tenth shorter.
+// saveUpdate saves the last update on disk once it is applied: the update alone, or the whole list. If a list did not
+// fit on disk, it saves nothing until the list is a tenth shorter.
 func (c *Client) saveUpdate() {
 	u := c.unsavedUpdate
 	if c.unsavedUpdate = nil; u == nil || c.store == nil || !c.directory.AllStatesKnown() ||
@@ -383,7 +389,7 @@
 	c.saveFailed = err != nil
 }
 
-// emit sends an event, unless ctx ends first.
+// emit sends an event to the receiver, unless ctx ends first.
 func (c *Client) emit(ctx context.Context, ev Event) {
 	select {
 	case c.events <- ev:
@@ -405,7 +411,8 @@
 	}
 }
 
-// nextBackoff returns the pause after an unusable answer. It grows until a usable one comes, also across watches.
+// nextBackoff returns the pause after an unusable answer, or after an empty one that did not wait. It grows until
+// another answer arrives, also across watches.
 func (c *Client) nextBackoff() time.Duration {
 	c.meanBackoff = min(max(2*c.meanBackoff, c.timing.initialBackoff), c.timing.maxBackoff)
 	return c.meanBackoff*3/4 + time.Duration(c.rng.Int64N(int64(c.meanBackoff)/2))
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -18,7 +18,7 @@
 	server      *httptest.Server
 	queries     chan string // the query of each call
 	answers     chan string // the next answer; "" leaves the call unanswered, with its connection open
-	lateAnswers chan string // the answers that unanswered calls get in the end
+	lateAnswers chan string // the late answers to calls that were left unanswered
 }
 
 func newScriptedDiscovery(t *testing.T) *scriptedDiscovery {
@@ -98,13 +98,13 @@
 				t.Errorf("%s: query %q, want %q", nonsense, q, want)
 			}
 		}
-		if log.count("keeping the known list") != 1 {
+		if log.count("the list stays as it is") != 1 {
 			t.Errorf("%s: not logged once", nonsense)
 		}
 	}
 }
 
-// awaitUnusable receives so many events that report an unusable answer, and fails on any other event.
+// awaitUnusable receives count events. The test fails if one of them does not report an unusable answer.
 func awaitUnusable(t *testing.T, events <-chan any, count int) {
 	t.Helper()
 	for range count {
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -16,8 +16,8 @@
 	return rows, u.UnusableRows
 }
 
-// Endpoints come and go over a long run. Names that have not been listed for long are removed unless they are in use,
-// so that they do not fill the memory, and no number is assigned twice.
+// Endpoints are added and removed over a long run. Names that have not been listed for long are removed unless they are
+// in use, so that they do not fill the memory, and no number is assigned twice.
 func TestDirectoryRemovesExpiredEndpoints(t *testing.T) {
 	d := NewDirectory(nil, nil)
 	applyList(d, List{Reset: true, Instances: []Instance{
@@ -73,8 +73,8 @@
 }
 
 // The decision logic gets a limited number of endpoints per destination, since it looks at each of them for each call.
-// The others replace announced ones as those go, for whatever reason, and no endpoint that is up is omitted while there
-// is room.
+// The others are announced when announced ones drain, move or are removed, and no endpoint that is up is omitted while
+// there is room.
 func TestEndpointsPerDestinationAreLimited(t *testing.T) {
 	const all = 3 * maxAnnouncedPerDestination
 	d := NewDirectory(nil, nil)
--- a/internal/discovery/faults_test.go
+++ b/internal/discovery/faults_test.go
@@ -24,23 +24,25 @@
 
 // Times at which a change counts as known, whether or not it has arrived, and intervals of the scenario.
 const (
-	knownDelay           = 6 * time.Second        // after discovery had it and could be reached, or a watch fell silent
-	unansweredHoldMargin = 2 * time.Second        // after the hold time of a call that fell silent, if that is later
+	// After discovery had it and could be reached, or a watch became unresponsive.
+	knownDelay           = 6 * time.Second
+	unansweredHoldMargin = 2 * time.Second        // after the hold time of a call that gets no answer, if that is later
 	timeTolerance        = 50 * time.Millisecond  // tolerance of every time limit
 	messageInterval      = 200 * time.Millisecond // between messages
-	changeInterval       = 500 * time.Millisecond // between changes, where they come close together
+	changeInterval       = 500 * time.Millisecond // between changes, where they follow each other closely
 )
 
-// callFaults are the faults of a call for the list. "silent" gets no answer. "quiet watch" waits for a change and falls
-// silent if none comes before quietAfter. The others fail at once: no connection, or an answer that is not a list.
+// callFaults are the faults of a call for the list. "silent" gets no answer. "quiet watch" waits for a change and
+// becomes unresponsive if there is none before quietAfter: it then gets no answer either. The others fail at once: no
+// connection, or an answer that is not a list.
 var callFaults = []string{"refused", "reset", "silent", "nonsense", "503", "quiet watch"}
 
 var malformedAnswers = []string{"<html>sorry</html>", `{"generation":9,"reset":true,"instances":[{"instanceId":"x","hos`,
 	`{"generation":"six"}`, `{"generation":-1,"reset":false,"instances":[]}`}
 
 // faultScenario is one sender, with decision logic and client, on virtual time. Its discovery applies a script of
-// faults to the first calls and answers the others correctly. Endpoint "alive" stays up and gets a message now and
-// then; endpoint n drains with the n-th change.
+// faults to the calls after the first goodCalls ones and answers the others correctly. Endpoint "alive" stays up and
+// gets a message now and then; endpoint n drains with the n-th change.
 type faultScenario struct {
 	startedAt     time.Time
 	changeTimes   []time.Duration // when each change happens
@@ -50,7 +52,7 @@
 	pushed        bool          // an agent has the list: a change counts as known as soon as the agent has it
 	goodCalls     int           // calls that are answered before the script begins
 	pendingFaults []string
-	quietAfter    time.Duration // after which a quiet watch falls silent
+	quietAfter    time.Duration // after which a quiet watch becomes unresponsive
 	drainGrace    time.Duration // how long a draining endpoint may still be called once that is known
 	callCount     int
 	faultyCalls   []faultyCall
@@ -61,7 +63,7 @@
 // faultyCall is a call that had a fault.
 type faultyCall struct {
 	fault      string
-	startedAt  time.Duration // when the call began, or fell silent
+	startedAt  time.Duration // when the call began, or became unresponsive
 	holdEndsAt time.Duration // when its hold time ends
 }
 
@@ -139,7 +141,7 @@
 		fmt.Fprintf(conn, "HTTP/1.1 200 x\r\nContent-Length: 400\r\n\r\n"+
 			`{"generation":9,"reset":false,"instances":[{"instanceId":"0","lifec`)
 		return
-	case "stalled":
+	case "stalled": // the same, but the connection stays open
 		fmt.Fprintf(conn, "HTTP/1.1 200 x\r\nContent-Length: 400\r\n\r\n"+
 			`{"generation":9,"reset":false,"instances":[{"instanceId":"0","lifec`)
 		<-disconnected
@@ -176,7 +178,7 @@
 				}
 				return
 			}
-			if fault != "" { // the watch has not fallen silent yet: the fault is left for a later call
+			if fault != "" { // the watch has not become unresponsive yet: the fault is left for a later call
 				s.mu.Lock()
 				s.faultyCalls, s.pendingFaults = s.faultyCalls[:len(s.faultyCalls)-1], append([]string{fault}, s.pendingFaults...)
 				s.mu.Unlock()
@@ -361,8 +363,9 @@
 	return known
 }
 
-// pushedKnownAt returns when a change counts as known where an agent has the list: at once if discovery can be reached,
-// but later if a call was unanswered then or soon after, as with a watch that broke.
+// pushedKnownAt returns when a change counts as known where an agent has the list: at once if discovery can be reached.
+// If a call became unresponsive before the change arrived, and the change happened less than knownDelay after that or
+// earlier, it counts as known only knownDelay after the call became unresponsive, as with a watch that broke.
 func (s *faultScenario) pushedKnownAt(n int) time.Duration {
 	known := s.firstReachableAt(s.changeTimes[n])
 	for _, x := range s.faultyCalls {
@@ -382,9 +385,9 @@
 	return at
 }
 
-// check describes a change that took effect too late: a message was sent against it after it counted as known and the
-// drain grace was over, or, with boundedAge, it arrived after it counted as known. It also returns how late the latest
-// change arrived.
+// check describes a change that took effect too late: a message was sent before it arrived, although it counted as
+// known and the drain grace was over, or, with boundedAge, it arrived after it counted as known. It also returns how
+// late the latest change arrived.
 func (s *faultScenario) check(boundedAge bool, duration time.Duration) (latest time.Duration, violation string) {
 	// With fewer sends the test shows nothing.
 	if messageCount := int(duration / messageInterval); len(s.sendTimes) < messageCount/2 {
@@ -413,10 +416,10 @@
 
 func micros(d time.Duration) logic.Micros { return logic.Micros(d / time.Microsecond) }
 
-// With any three faults of calls for the list in a row, a change takes effect, or no message is sent against it, once
-// it counts as known: 6 s after discovery had it and could be reached, or after a watch fell silent, and for a call
-// with a hold time 2 s after the end of the hold if that is later. A draining endpoint may still be called for the
-// drain grace from then on.
+// With any three faults of calls for the list in a row, once a change counts as known it has taken effect, or no
+// message is sent until it has. It counts as known 6 s after discovery had it and could be reached, or after a watch
+// became unresponsive, and for a call with a hold time 2 s after the end of that time if that is later. A draining
+// endpoint may still be called for the drain grace from then on.
 func TestRequestedChangesTakeEffectInTimeDespiteFaults(t *testing.T) {
 	graces := []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second, 5 * time.Second}
 	for _, senders := range []int{1, 8, 20, 30, 300, 540} {
@@ -470,11 +473,12 @@
 }
 
 // Where an agent has the list, a change counts as known as soon as the agent has it, whatever happens to the calls for
-// it. At a first start and at a restart, for any number of senders and any drain grace, no message is sent against a
-// change once the grace is over. No pause of the client or the decision logic lasts longer, and after an unusable
-// answer sends wait for the next one (incident 1).
+// it. At a first start and at a restart, for any number of senders and any drain grace, once the grace is over no
+// message is sent until the change has taken effect. No pause of the client or the decision logic lasts longer, and
+// after an unusable answer sends wait for the next one.
 func TestPushedChangesTakeEffectWithinGraceDespiteFaults(t *testing.T) {
 	graces := []time.Duration{0, 100 * time.Millisecond, 300 * time.Millisecond, time.Second, 2 * time.Second, 5 * time.Second}
+	// A fault that ends in "news" affects only the answer to a watch that has a change to report.
 	kinds := []string{"refused", "reset", "silent", "nonsense", "503", "quiet watch", "torn", "stalled",
 		"stalled news", "torn news"}
 	for _, senders := range []int{1, 8, 16, 40, 104, 300, 900} {
--- a/internal/discovery/limits_test.go
+++ b/internal/discovery/limits_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// A long list over a slow connection takes longer than an answer may take to begin, and is read all the same. The call
-// is not reported as an accepted watch meanwhile.
+// A long list over a slow connection takes longer than an answer may take to begin, and is still read. The call is not
+// reported as an accepted watch meanwhile.
 func TestLongListOverSlowConnection(t *testing.T) {
 	var text strings.Builder
 	writeWholeList(&text, 6, 20000)
@@ -62,8 +62,8 @@
 			writeRest(w)
 		}, func(vt *virtualTimeTest) {
 			time.Sleep(5 * time.Second)
-			if n, last := vt.calls(); n < 2 || vt.log.count("keeping the known list") != n-1 || vt.log.count("timed out") != n-1 {
-				t.Errorf("%s: %d calls, the last after %v, %d log lines", name, n, last, vt.log.count("keeping the known list"))
+			if n, last := vt.calls(); n < 2 || vt.log.count("the list stays as it is") != n-1 || vt.log.count("timed out") != n-1 {
+				t.Errorf("%s: %d calls, the last after %v, %d log lines", name, n, last, vt.log.count("the list stays as it is"))
 			}
 			for ev := vt.nextEvent(0); ev != nil; ev = vt.nextEvent(0) {
 				if ev.HasUpdate {
@@ -91,7 +91,7 @@
 			}
 		}, func(vt *virtualTimeTest) {
 			time.Sleep(time.Second)
-			if n, _ := vt.calls(); n < 2 || vt.log.count(x.want) < 1 || vt.log.count("keeping the known list") < 1 {
+			if n, _ := vt.calls(); n < 2 || vt.log.count(x.want) < 1 || vt.log.count("the list stays as it is") < 1 {
 				t.Errorf("%s: %d calls, log %s", name, n, vt.log.text.String())
 			}
 		})
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -11,13 +11,14 @@
 
 // Instance is one endpoint of the list.
 type Instance struct {
-	ID          string  `json:"instanceId"`
-	HostPort    string  `json:"hostPort"`
-	Zone        string  `json:"zone"`
-	Kind        string  `json:"machineType"`
-	Destination int64   `json:"cell"`
-	Lifecycle   string  `json:"lifecycle"` // up, draining or removed; any other value counts as draining
-	Weight      float64 `json:"weight"`    // calls per second that the destination accepts, where the settings say so
+	ID          string `json:"instanceId"`
+	HostPort    string `json:"hostPort"`
+	Zone        string `json:"zone"`
+	Kind        string `json:"machineType"`
+	Destination int64  `json:"cell"`
+	Lifecycle   string `json:"lifecycle"` // up, draining or removed; any other value counts as draining
+	// Rate limit of the destination in calls per second, if the settings give weights this meaning.
+	Weight float64 `json:"weight"`
 }
 
 // Update is an answer of discovery, reduced to the rows that differ from the directory. It has to be applied to the
--- a/internal/discovery/store.go
+++ b/internal/discovery/store.go
@@ -87,7 +87,7 @@
 
 // Store keeps the list of endpoints in the file "list" of a folder, as a snapshot followed by updates, so that a
 // restarted sender asks only for changes. While the snapshot is rewritten there is a second file, "list.new". Written
-// data outlasts the process, but not necessarily the machine: the files are not synced.
+// data survives the end of the process, but not necessarily a crash of the machine: the files are not synced.
 //
 // Only one process at a time may use a folder. A store is safe for concurrent use; its calls run one after the other.
 type Store struct {
@@ -98,7 +98,7 @@
 	mu            sync.Mutex
 	opened        bool
 	hasList       bool  // the file holds a whole list
-	loadErr       error // why it does not
+	loadErr       error // why it does not hold one
 	saved         SavedInfo
 	snapshotBytes int64
 	fileBytes     int64
@@ -311,7 +311,7 @@
 // why, and is fs.ErrNotExist (wrapped) if nothing is saved. A torn end among the updates is not an error: it is cut
 // off, and the rest is the list at the generation that Load returns. On an error, including one of handle, the caller
 // has to drop the rows that it was given, and nothing can be appended until Replace. A process loads the list at its
-// start; later calls only show it.
+// start. A later call only reads it: a file that lacks updates still lacks them.
 func (s *Store) Load(handle func([]Instance) error) (SavedInfo, error) {
 	return s.LoadAtLeast(math.MinInt64, handle)
 }
@@ -533,10 +533,10 @@
 
 // Replace saves a whole list in place of the saved one. The rows are streamed to a second file, and the old file is
 // kept until that is whole. The old file is removed first only if it would be wrong from now on: it can't be read, or
-// its origin has restarted its generations below the saved one. Otherwise the old list is just older.
+// its origin has restarted its generations below the saved one. Otherwise the old list is only out of date.
 //
-// The rows must be those at the given generation, or at a later one of the same origin. No later update may be appended
-// before: it would be lost, and the updates after it would follow a gap.
+// The rows must be those at the given generation, or at a later one of the same origin. An update after that generation
+// must not be appended before the call: it would be lost, and the updates after it would follow a gap.
 //
 // On an error no new file is left and the old one stays. errNoRoom (wrapped) means that the two files together would
 // have exceeded the budget.
@@ -584,7 +584,7 @@
 }
 
 // writeSnapshotFile writes a snapshot to the new file, while there is an old file of the given size. It counts the rows
-// in saved and returns the size of the new file.
+// in saved and returns the size and the description of the new file.
 func (s *Store) writeSnapshotFile(saved *SavedInfo, rows iter.Seq[Instance],
 	oldFileBytes int64) (size int64, info os.FileInfo, err error) {
 	f, err := os.OpenFile(s.newPath(), os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
@@ -668,7 +668,8 @@
 		return errMissingUpdates
 	}
 	if generation <= s.saved.Generation {
-		// With a lower one, discovery has restarted its generations or an update was lost; rows would be lost here.
+		// A lower generation means that discovery has restarted its generations or that an update was lost. Rows that
+		// are rejected here are missing from the file.
 		s.upToDate = generation == s.saved.Generation && len(rows) == 0
 		return fmt.Errorf("saved list: %w: from %d to %d", errGenerationNotHigher, s.saved.Generation, generation)
 	}
@@ -731,8 +732,8 @@
 }
 
 // NeedsReplace reports whether Replace is due: the updates take more than half of the snapshot's size and more than
-// minReplaceUpdateBytes, there is hardly room for more of them, or the file lacks updates. It stays true if Replace
-// found no room: the caller should not try again before the list is shorter.
+// minReplaceUpdateBytes, there is no room for minCompressBytes more of them, or the file lacks updates. It stays true
+// if Replace found no room: the caller should not try again before the list is shorter.
 func (s *Store) NeedsReplace() bool {
 	if s.budgetBytes <= 0 {
 		return false
--- a/internal/discovery/store_test.go
+++ b/internal/discovery/store_test.go
@@ -282,7 +282,7 @@
 	return readStoreFile(t, dir), ends, lists
 }
 
-// A process can die during a write, and a file can be truncated. The rest is rejected, or it is a list that was saved.
+// A process can die during a write, and a file can be truncated. What is left is rejected, or is a list that was saved.
 func TestStoreTruncatedAtEveryByte(t *testing.T) {
 	text, ends, lists := smallStoreFile(t)
 	dir := t.TempDir()
@@ -313,7 +313,7 @@
 	}
 }
 
-// A changed byte makes the file unusable, or it cuts off the update that it is in and all later ones.
+// A flipped bit in the snapshot makes the file unusable. One in an update cuts off that update and all later ones.
 func TestStoreBitFlippedAtEveryByte(t *testing.T) {
 	text, ends, lists := smallStoreFile(t)
 	dir := t.TempDir()
@@ -448,7 +448,7 @@
 	mustHaveSaved(t, dir, "o:1", 6, newInstancesByID(sampleInstances(0, 4)))
 }
 
-// If the callback fails, the process goes on without the list, and nothing may be appended: it would follow a gap.
+// If the callback fails, the process continues without the list, and nothing may be appended: it would follow a gap.
 func TestStoreLoadAbortedByCallback(t *testing.T) {
 	dir := t.TempDir()
 	s := OpenStore(dir, largeBudgetBytes, discardLogger)
@@ -750,7 +750,7 @@
 // After any sequence of operations and faults, a loaded list is the one that was current at its generation.
 func TestStoreRandomOperations(t *testing.T) {
 	seeds := 30
-	loaded, refused := 0, 0
+	loaded, rejected := 0, 0
 	for seed := range uint64(seeds) {
 		rng := rand.New(rand.NewPCG(seed, 16))
 		dir := t.TempDir()
@@ -823,7 +823,7 @@
 				got := instancesByID{}
 				saved, err := s.Load(func(rows []Instance) error { got.apply(rows); return nil })
 				if err != nil {
-					refused++
+					rejected++
 					break
 				}
 				loaded++
@@ -846,9 +846,9 @@
 			}
 		}
 	}
-	t.Logf("%d lists loaded, %d rejected", loaded, refused)
-	if loaded < seeds || refused < seeds/10 {
-		t.Errorf("%d lists loaded, %d rejected: too few for this test", loaded, refused)
+	t.Logf("%d lists loaded, %d rejected", loaded, rejected)
+	if loaded < seeds || rejected < seeds/10 {
+		t.Errorf("%d lists loaded, %d rejected: too few for this test", loaded, rejected)
 	}
 }
 
@@ -856,7 +856,7 @@
 func TestStoreCorruptRecordsWithValidChecksums(t *testing.T) {
 	good, _, _ := smallStoreFile(t)
 	dir := t.TempDir()
-	refused, cut := 0, 0
+	rejected, truncated := 0, 0
 	for seed := range uint64(1500) {
 		rng := rand.New(rand.NewPCG(seed, 17))
 		text := bytes.Clone(good)
@@ -876,29 +876,30 @@
 			rest = rest[wal.HeaderLen+n:]
 		}
 		writeStoreFile(t, dir, text)
-		first, one, err := loadList(dir)
+		first, firstList, err := loadList(dir)
 		if err != nil {
-			refused++
+			rejected++
 			continue
 		}
 		if len(readStoreFile(t, dir)) < len(text) {
-			cut++
+			truncated++
 		}
-		again, two, err := loadList(dir)
-		if err != nil || again != first || fmt.Sprint(one) != fmt.Sprint(two) {
+		again, secondList, err := loadList(dir)
+		if err != nil || again != first || fmt.Sprint(firstList) != fmt.Sprint(secondList) {
 			t.Fatalf("seed %d: first %+v, then %+v, %v", seed, first, again, err)
 		}
 		if s := reopenStore(t, dir); first.Generation < math.MaxInt64 {
 			mustAppend(t, s, math.MaxInt64)
 		}
 	}
-	t.Logf("%d rejected, %d cut off", refused, cut)
-	if refused < 100 || cut < 100 {
-		t.Errorf("%d rejected, %d cut off: too few for this test", refused, cut)
+	t.Logf("%d rejected, %d cut off", rejected, truncated)
+	if rejected < 100 || truncated < 100 {
+		t.Errorf("%d rejected, %d cut off: too few for this test", rejected, truncated)
 	}
 }
 
-// One goroutine appends updates, another rewrites the list, and a third loads it; updates and rewrites are in order.
+// One goroutine appends updates, another rewrites the list, and a third loads it. A mutex keeps updates and rewrites in
+// the order of their generations.
 func TestStoreConcurrent(t *testing.T) {
 	const lastGeneration = 100
 	dir := t.TempDir()
@@ -977,8 +978,8 @@
 	return peak
 }
 
-// A list of 200,000 rows, the upper bound of its size, is written and read as a stream: the heap stays far below the
-// size of the list.
+// A list of 200,000 rows, the upper bound of a list's size, is written and read as a stream: the heap stays far below
+// the size of the list.
 func TestStoreLargeListHeapAndFileSize(t *testing.T) {
 	const n = 200_000
 	all := func(yield func(Instance) bool) {
@@ -990,20 +991,20 @@
 	}
 	dir := t.TempDir()
 	s := OpenStore(dir, largeBudgetBytes, discardLogger)
-	var raw int
+	var jsonBytes int
 	for in := range all {
 		text, err := json.Marshal(in)
 		if err != nil {
 			t.Fatal(err)
 		}
-		raw += len(text) + 1
+		jsonBytes += len(text) + 1
 	}
 	start := time.Now()
 	if err := s.Replace("o:1", 9, all); err != nil {
 		t.Fatal(err)
 	}
 	wrote := time.Since(start)
-	bytes := diskUsageBytes(t, dir)
+	fileBytes := diskUsageBytes(t, dir)
 	start = time.Now()
 	s = OpenStore(dir, largeBudgetBytes, discardLogger)
 	if _, err := s.Peek(); err != nil {
@@ -1051,13 +1052,13 @@
 		}
 	})
 	t.Logf("%d rows, %d bytes of JSON: %d bytes on disk (%.1f per row), written in %v, checked in %v, read and compared in %v; "+
-		"peak heap beyond the start %.1f MB writing, %.1f MB reading", n, raw, bytes, float64(bytes)/n, wrote, checked, read,
+		"peak heap beyond the start %.1f MB writing, %.1f MB reading", n, jsonBytes, fileBytes, float64(fileBytes)/n, wrote, checked, read,
 		float64(writing)/1e6, float64(reading)/1e6)
-	if most := uint64(16 << 20); writing > most || reading > most {
-		t.Errorf("heap over %d bytes", most)
+	if maxHeapBytes := uint64(16 << 20); writing > maxHeapBytes || reading > maxHeapBytes {
+		t.Errorf("heap over %d bytes", maxHeapBytes)
 	}
-	if bytes > int64(raw)/4 {
-		t.Errorf("%d bytes on disk for %d of JSON", bytes, raw)
+	if fileBytes > int64(jsonBytes)/4 {
+		t.Errorf("%d bytes on disk for %d of JSON", fileBytes, jsonBytes)
 	}
 }
 
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -143,12 +143,12 @@
 	bytesRead int64
 }
 
-func (b *valueLimitReader) Read(p []byte) (int, error) {
-	if b.bytesRead-b.decoder.InputOffset() > maxValueBytes {
+func (r *valueLimitReader) Read(p []byte) (int, error) {
+	if r.bytesRead-r.decoder.InputOffset() > maxValueBytes {
 		return 0, fmt.Errorf("a value of more than %d bytes", maxValueBytes)
 	}
-	n, err := b.input.Read(p)
-	b.bytesRead += int64(n)
+	n, err := r.input.Read(p)
+	r.bytesRead += int64(n)
 	return n, err
 }
 
--- a/internal/discovery/stream_test.go
+++ b/internal/discovery/stream_test.go
@@ -59,11 +59,11 @@
 			t.Errorf("%s for %s: changes %s", x[1], x[0], describeRows(a.Rows))
 		}
 	}
-	less := mustReadAnswer(t, d, strings.NewReader(strings.Replace(threeInstances, b+",\n", "", 1)))
-	if got := describeRows(less.Rows); got != "b removed" {
+	withoutB := mustReadAnswer(t, d, strings.NewReader(strings.Replace(threeInstances, b+",\n", "", 1)))
+	if got := describeRows(withoutB.Rows); got != "b removed" {
 		t.Errorf("without b: changes %s", got)
 	}
-	rows := d.Apply(&less.Update, time.Now())
+	rows := d.Apply(&withoutB.Update, time.Now())
 	if len(rows) != 1 || rows[0].State != logic.Removed || d.Len() != 2 {
 		t.Errorf("without b: entries %+v, %d are listed", rows, d.Len())
 	}
@@ -170,7 +170,7 @@
 	return n, err
 }
 
-// For any sequence of lists, the decision logic gets to the same state with the reduced lists as with the full ones.
+// For any sequence of lists, the decision logic reaches the same state with the reduced lists as with the full ones.
 func TestReducedListsGiveSameState(t *testing.T) {
 	type endpointView struct {
 		zone, kind  int
@@ -251,7 +251,7 @@
 }
 
 // An answer is read as a stream: the memory that a known whole list takes, beyond the directory, does not grow with its
-// size.
+// size. The test allows 64 allocated bytes for each entry.
 func TestKnownListIsReadInBoundedMemory(t *testing.T) {
 	d := NewDirectory(nil, nil)
 	var text strings.Builder
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -11,7 +11,7 @@
 // Where lists are pushed, an agent on the sender's own machine answers at once, at no cost, with the list that
 // discovery has sent it. A change counts as known to the sender as soon as the agent has it, whether or not the sender
 // has asked. Every pause therefore has to stay well under the drain grace, and an agent that does not answer has lost
-// discovery.
+// its connection to discovery.
 type timing struct {
 	firstPause      time.Duration // longest pause before the first call of a first start
 	busyPause       time.Duration // mean pause after an update from an overloaded discovery; 0 for no pause
@@ -47,9 +47,9 @@
 	minPushedBackoff      = 20 * time.Millisecond
 )
 
-// pushedRenumberingDelay is how long an agent's answers have to be older than the known list until they are accepted:
-// a change in the meantime counts as known after 6 s at the latest, and late answers with an earlier list do not keep
-// coming for that long.
+// pushedRenumberingDelay is how long an agent's answers have to be older than the known list until discovery's
+// generations count as restarted: a change in the meantime counts as known after 6 s at the latest, and late answers
+// with an earlier list do not continue for that long.
 const pushedRenumberingDelay = 5 * time.Second
 
 // clampedFraction returns a fraction of span, between minimum and maximum.
@@ -68,8 +68,8 @@
 		initialBackoff:  backoff / 4, maxBackoff: backoff, renumberingDelay: pushedRenumberingDelay, limitTransferTime: true}
 }
 
-// requestedTiming returns the timing for lists that are requested, by so many senders in total. grace is how long a
-// draining endpoint may still be called.
+// requestedTiming returns the timing for lists that are requested. senders is the number of senders that share
+// discovery, and grace is how long a draining endpoint may still be called.
 func requestedTiming(senders int, grace time.Duration) timing {
 	t := timing{holdTime: watchHoldTime, answerMargin: watchAnswerMargin, answerTimeout: listTimeout,
 		acceptanceDelay: acceptanceDelay, stallTimeout: stallTimeout, initialBackoff: initialBackoff, maxBackoff: maxBackoff}
@@ -80,9 +80,9 @@
 	t.holdTime, t.busyPause, t.firstPause = spreadWatchHoldTime,
 		min(fleetSize*pausePerSender, maxBusyPause), min(fleetSize*pausePerSender, maxFirstPause)
 	if fleetSize*serviceTimePerCall > maxFirstPause {
-		// If discovery served one call after the other, no pause could spread so many calls enough. So it is taken to
+		// If discovery served one call after the other, no pause could spread so many calls enough. It is assumed to
 		// answer at once, as the protocol says. An endpoint that begins to drain after the start may still be called
-		// for the grace, so the pause stays within that.
+		// for the grace, and the pause stays within that.
 		t.firstPause = min(t.firstPause, grace)
 	}
 	return t
