--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -97,7 +97,7 @@
 	return "removed"
 }
 
-func (s recordState) readiness() logic.EndpointState {
+func (s recordState) endpointState() logic.EndpointState {
 	switch s {
 	case stateUp:
 		return logic.Ready
@@ -285,7 +285,7 @@
 // entry returns a record in the form that the decision logic gets.
 func (d *Directory) entry(id logic.EndpointID, r *record) logic.Entry {
 	return logic.Entry{Endpoint: id, Zone: d.zones.settingsIndexes[r.zoneLabel],
-		Kind: d.kinds.settingsIndexes[r.kindLabel], Destination: r.destination, State: r.state.readiness(), Nominal: r.weight}
+		Kind: d.kinds.settingsIndexes[r.kindLabel], Destination: r.destination, State: r.state.endpointState(), Nominal: r.weight}
 }
 
 // instance returns a record in the form of the list.
--- a/internal/scale/fleet_test.go
+++ b/internal/scale/fleet_test.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestFleetCoversWhatItModels checks that simulated destinations reject, fail and recover: else the tests of bounds
+// TestFleetCoversAllFeatures checks that simulated destinations reject, fail and recover: else the tests of bounds
 // would check nothing.
-func TestFleetCoversWhatItModels(t *testing.T) {
+func TestFleetCoversAllFeatures(t *testing.T) {
 	f := smallFleet(t, 3)
 	if f.Delivered < f.Messages*8/10 {
 		t.Errorf("%d of %d messages were delivered, want at least 80%%", f.Delivered, f.Messages)
--- a/internal/scale/process_test.go
+++ b/internal/scale/process_test.go
@@ -289,8 +289,8 @@
 	return kb * 1024, cpu
 }
 
-// folderBytes returns the size of the state directory in bytes, with each file rounded up to 512 bytes.
-func (s *senderProcess) folderBytes() (size float64) {
+// stateDirBytes returns the size of the state directory in bytes, with each file rounded up to 512 bytes.
+func (s *senderProcess) stateDirBytes() (size float64) {
 	s.fleet.t.Helper()
 	files, err := os.ReadDir(s.stateDir)
 	if err != nil {
@@ -408,7 +408,7 @@
 	slowestChange                      time.Duration   // until a change is in force at all, the slowest of all changes
 	startTraffic                       standin.Traffic // all senders together, from the first start through three changes
 	restartTraffic                     standin.Traffic // all senders together, from the restart through one change
-	folderBytes                        float64         // largest state directory after the first run, in bytes
+	stateDirBytes                      float64         // largest state directory after the first run, in bytes
 	peakBytes, peakBytesAfterRestart   float64         // of the process with the most, in bytes
 	cpuTime, cpuTimeAfterRestart       time.Duration   // of the process with the most
 	simulatedStartTraffic              standin.Traffic
@@ -484,7 +484,7 @@
 		s.kill()
 	}
 	for _, s := range f.senders {
-		r.folderBytes = max(r.folderBytes, s.folderBytes())
+		r.stateDirBytes = max(r.stateDirBytes, s.stateDirBytes())
 	}
 	time.Sleep(600 * time.Millisecond)
 	f.discovery.ResetStats()
@@ -563,7 +563,7 @@
 			results = append(results, r)
 			t.Logf("%s, %d processes, %d entries: list received %v; ready after %v and %v, list in force after %v and %v, a change after %v; first run %+v, second %+v; "+
 				"peak %.4g and %.4g MB, folder %.4g MB, processor time %v and %v; simulated: change %v, first run %+v, second %+v", r.program, r.senders, r.entries, r.servesList,
-				r.readyAfterStart, r.readyAfterRestart, r.listAfterStart, r.listAfterRestart, r.slowestChange, r.startTraffic, r.restartTraffic, r.peakBytes/1e6, r.peakBytesAfterRestart/1e6, r.folderBytes/1e6, r.cpuTime, r.cpuTimeAfterRestart,
+				r.readyAfterStart, r.readyAfterRestart, r.listAfterStart, r.listAfterRestart, r.slowestChange, r.startTraffic, r.restartTraffic, r.peakBytes/1e6, r.peakBytesAfterRestart/1e6, r.stateDirBytes/1e6, r.cpuTime, r.cpuTimeAfterRestart,
 				r.simulatedSlowestChange, r.simulatedStartTraffic, r.simulatedRestartTraffic)
 			r.check(t)
 		}
@@ -652,7 +652,7 @@
 	add("ready after a first start", "s", TargetDestinations, 10, func(r *processResult) (float64, bool) { return r.readyAfterStart.Seconds(), true })
 	add("list in force after a first start", "s", TargetDestinations, 0, func(r *processResult) (float64, bool) { return r.listAfterStart.Seconds(), r.servesList })
 	add("a change in force at all", "s", TargetDestinations, TargetInForceSeconds, func(r *processResult) (float64, bool) { return r.slowestChange.Seconds(), r.servesList })
-	add("folder", "MB", TargetDestinations, 0, func(r *processResult) (float64, bool) { return r.folderBytes / 1e6, r.servesList })
+	add("folder", "MB", TargetDestinations, 0, func(r *processResult) (float64, bool) { return r.stateDirBytes / 1e6, r.servesList })
 	add("peak memory, second life", "MB", TargetDestinations, ControlMemoryBytes/1e6, func(r *processResult) (float64, bool) { return r.peakBytesAfterRestart / 1e6, r.servesList })
 	add("bytes of a process, second life", "MB", 0, 0, func(r *processResult) (float64, bool) {
 		return perProcess(r, r.restartTraffic.Bytes()) / 1e6, r.servesList
--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -31,7 +31,7 @@
 	rows           []standin.Row // the list as the agent knows it
 	changes        []Change
 	notices        []Notice
-	watchLosses    []time.Time // when all open watches became unresponsive
+	watchStalls    []time.Time // when all open watches became unresponsive
 	addressChanges []time.Time // when discovery moved to another address
 	faults         []discoveryFault
 	unreachable    bool
@@ -132,7 +132,7 @@
 func (a *agent) stallWatches() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.watchLosses = append(a.watchLosses, time.Now())
+	a.watchStalls = append(a.watchStalls, time.Now())
 	a.discovery.StallWatches()
 }
 
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -161,7 +161,7 @@
 	if !h.cfg.Pushed { // 2 s after the end of a long poll, which may have begun just before its watch became unresponsive
 		detection = maxLongPoll + 2*time.Second
 	}
-	for _, stalledAt := range a.watchLosses {
+	for _, stalledAt := range a.watchStalls {
 		if knownAt.After(stalledAt) && c.KnownAt.Before(stalledAt.Add(detection)) {
 			knownAt = latest(knownAt, stalledAt.Add(detection))
 		}
