--- a/logic/decision_test.go
+++ b/logic/decision_test.go
@@ -166,14 +166,14 @@
 	if l.pace != 1.1 {
 		t.Errorf("pace after a success: got %v, want 1.1", l.pace)
 	}
-	// With a known limit the least pace is at most an even share of it, and the pace grows by a part of that share.
+	// With a known limit the lowest pace is at most an even share of it, and the pace grows by a part of that share.
 	l = &limiter{limit: 20, pace: 1}
 	h.sender.raisePace(l)
 	if l.pace != 2 {
 		t.Errorf("pace under a limit of 20 for two senders: got %v, want 2", l.pace)
 	}
 	if f := h.sender.minPace(&limiter{limit: 1}); f != 0.5 {
-		t.Errorf("least pace under a limit of 1 for two senders: got %v, want 0.5", f)
+		t.Errorf("lowest pace under a limit of 1 for two senders: got %v, want 0.5", f)
 	}
 }
 
@@ -605,7 +605,8 @@
 	}
 }
 
-// newLargeFleetHarness returns a sender among many, with one destination whose limit is in the list.
+// newLargeFleetHarness returns a harness with one of several senders and one destination, whose rate limit is in the
+// list.
 func newLargeFleetHarness(t *testing.T, senders int, rate float64, seed uint64) *harness {
 	t.Helper()
 	settings := baseSettings()
@@ -621,8 +622,8 @@
 	return h
 }
 
-// Guards against an overload of a recovering destination by 300 senders of which each makes one call in four windows.
-// Their budgets must add up to less than what overloads it, and their calls must not come at the same time.
+// Guards against an overload of a recovering destination by 300 senders that each make one call in four windows. Their
+// budgets must add up to less than what overloads it, and their calls must not be sent at the same time.
 func TestBudgetsOfManySendersStayWithinTheLimit(t *testing.T) {
 	const senders, rate = 300, 10.0
 	calls := make([]int, 30) // by second
@@ -741,9 +742,9 @@
 	}
 }
 
-// Guards against 80 senders that exceed a limit together: each sent its part of a burst at once, and since rejected
-// calls use the limit up as well, almost nothing was accepted for seconds. The calls of all must stay within the limit,
-// and with all of it left no message waits past its aim.
+// Guards against 80 senders that exceed a limit together: if the first send of each is not paced, they send a burst at
+// once, and since rejected calls use the limit up as well, almost nothing is accepted for seconds. The calls of all
+// must stay within the limit, and with all of it left no message waits past its aim.
 func TestManySendersShareALimit(t *testing.T) {
 	const senders, rate = 80, 40.0
 	calls := 0
@@ -932,9 +933,9 @@
 	}
 }
 
-// Guards against many senders whose calls, in total, return too early to a destination that rejects everything: each
-// sender waited after every rejection but did not take them for an outage. With many senders two rejections in a row
-// are enough for that.
+// Guards against many senders that call a destination which rejects everything too often in total: each sender waits
+// after every rejection but does not take the rejections for an outage. With many senders two rejections in a row are
+// enough to count as one.
 func TestManySendersTakeTwoRejectionsForAnOutage(t *testing.T) {
 	for _, senders := range []int{2, 100} {
 		h := newLargeFleetHarness(t, senders, 10, 1)
@@ -1133,8 +1134,8 @@
 	}
 }
 
-// A new address of discovery ends the delay after a failed list request, however long. With a watch open there is no
-// delay to end.
+// A new address of discovery ends the delay after a failed list request, however long. While no request has failed
+// there is no delay to end.
 func TestDiscoveryMoveEndsTheListRetryDelay(t *testing.T) {
 	settings := baseSettings()
 	settings.Senders = 300
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -37,7 +37,7 @@
 	limitRPS             float64
 	loadShare            float64 // traffic as a share of the limit; 0: drawn from the seed
 	chanceFailureRate    float64 // share of calls that fail by chance
-	firstEndpointOnly    bool    // only the first endpoint has the outage, and the others take all that the limit allows
+	firstEndpointOnly    bool    // only the first endpoint has the outage, and the others accept what the limit allows
 	seed                 uint64
 }
 
@@ -48,7 +48,8 @@
 		c.unevenLoad, c.restarts, c.seed)
 }
 
-// fleetRules are settings of the overload rule for deployments that differ.
+// fleetRules are settings of the overload rule for deployments that differ. The rule is described at
+// Settings.FallMultiple.
 var fleetRules = []struct {
 	fallMultiple, coldFrom float64
 	fallWindow, warmAfter  Micros
@@ -242,7 +243,7 @@
 	f.schedule(0, next)
 }
 
-// handIn hands a message to a sender, or to a random one that runs while it is stopped.
+// handIn hands a message to a sender. If that sender is stopped, a random one that runs gets it.
 func (f *fleet) handIn(fs *fleetSender, m *fleetMessage) {
 	for fs.stopped {
 		fs = f.senders[f.rnd.IntN(len(f.senders))]
@@ -503,7 +504,8 @@
 	return result
 }
 
-// fleetCases returns deployments that differ in what the overload rule leaves open; the rest is drawn from the seed.
+// fleetCases returns deployments that differ in what the overload rule leaves open: each source of the limit, each
+// fault, and one or two endpoints. The other fields are drawn from the seed.
 func fleetCases(senders, seeds int, faults ...fault) (cases []fleetCase) {
 	number, rates := uint64(0), []float64{4, 11, 40, 120}
 	if senders < 100 { // each holds many messages, which makes its steps slow
@@ -525,9 +527,9 @@
 	return cases
 }
 
-// checkNoFleetOverload fails if a fleet overloads a recovering destination. It counts the calls of all senders, in windows
-// where over two thirds of the calls came from senders that knew of the outage. Each sender knows only what it saw
-// itself.
+// checkNoFleetOverload fails if a fleet overloads a recovering destination. It counts the calls of all senders, in
+// windows where over two thirds of the calls came from senders that knew of the outage. Each sender knows only what it
+// saw itself.
 func checkNoFleetOverload(t *testing.T, seeds int, faults ...fault) {
 	t.Helper()
 	for _, senders := range []int{20, 30, 300, 540} {
@@ -570,13 +572,13 @@
 	checkNoFleetOverload(t, *fleetSeeds, faultHang, faultRefuse, faultReset, faultError)
 }
 
-// The outage is that the destination rejects all calls unexamined, with neither a retry-after time nor a load report.
+// During its outage the destination rejects all calls unexamined, with neither a retry-after time nor a load report.
 func TestFleetDoesNotOverloadADestinationThatRejectedAll(t *testing.T) {
 	checkNoFleetOverload(t, 4**fleetSeeds, faultReject)
 }
 
-// Guards against a fleet that is slow without an outage: after calls that fail by chance each sender holds messages
-// back for a while.
+// Guards against a fleet that delivers late although no endpoint has an outage: after calls that fail by chance each
+// sender holds messages back for a while.
 func TestFleetDeliversDespiteChanceFailures(t *testing.T) {
 	for _, tc := range []struct {
 		senders                                       int
--- a/logic/handover_test.go
+++ b/logic/handover_test.go
@@ -40,12 +40,12 @@
 func copyRows(rows iter.Seq[[]byte]) iter.Seq2[[]byte, error] {
 	return func(yield func([]byte, error) bool) {
 		for row := range rows {
-			mine := slices.Clone(row)
-			if !yield(mine, nil) {
+			copied := slices.Clone(row)
+			if !yield(copied, nil) {
 				return
 			}
-			for i := range mine {
-				mine[i] = 0xff
+			for i := range copied {
+				copied[i] = 0xff
 			}
 		}
 	}
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -72,8 +72,8 @@
 	return found
 }
 
-// ruleChecker feeds random but valid events and outcomes to a Sender and checks the six rules of the design. It does
-// not model a server.
+// ruleChecker feeds random but valid events and outcomes to a Sender and checks the rules that the package comment
+// guarantees, except for bans and repeatability. It does not model a server.
 type ruleChecker struct {
 	t                   *testing.T
 	settings            Settings
@@ -445,7 +445,8 @@
 }
 
 // checkBudget checks that the calls to destination 1 after its outage stay within this sender's share of what overloads
-// a recovering destination, plus six calls for chance and for an endpoint that was not tried during the outage.
+// a recovering destination, plus six calls for each route: for chance and for an endpoint that was not tried during
+// the outage.
 func (rc *ruleChecker) checkBudget(endpoint *ruleEndpoint) {
 	if endpoint.entry.Destination == 1 && rc.now < rc.outage[0] {
 		rc.sentBeforeOutage = append(rc.sentBeforeOutage, rc.now)
@@ -461,7 +462,7 @@
 	if rc.settings.Kinds[endpoint.entry.Kind].SeparateRoutes {
 		routes = 2
 	}
-	limit := 8.0 // the highest limit in a load report; without a limit, the sender's peak rate stands for it
+	limit := 8.0 // the highest limit in a load report; without a limit, a higher peak rate of the sender counts
 	if rc.settings.Weights == WeightsOff && rc.settings.LimitIndex < 0 {
 		limit = max(limit, rc.peakRate)
 	}
--- a/logic/list_lease_test.go
+++ b/logic/list_lease_test.go
@@ -31,8 +31,10 @@
 var failedListRequests = []failedListRequest{{"refused", 500, false}, {"reset", 30_000, false}, {"silent", 2 * Second, false},
 	{"silent watch", watchLimit, true}, {"nonsense", 12_000, false}, {"503", 15_000, false}}
 
-// drainSlack runs one sender through list requests that fail, with an endpoint that begins to drain at a given time. It
-// returns by how much the last call to that endpoint came before the end of the drain grace.
+// drainSlack runs one sender through list requests that fail: failedBefore that are refused, then those in failing.
+// Endpoint 1 begins to drain at change, counted from the start of the last request that fails. drainSlack returns how
+// long before the end of the drain grace, plus the tolerance, the last call to that endpoint was sent. The drain grace
+// begins when the change counts as known.
 func drainSlack(t *testing.T, senders int, failedBefore int, failing []failedListRequest, change, grace Micros,
 	seed uint64) (slack Micros) {
 	t.Helper()
@@ -49,7 +51,7 @@
 	}
 	var queue []item
 	add := func(at Micros, ev Event) { queue = append(queue, item{at, ev}) }
-	calls, knownAt := 0, never // list requests; when the change counts as known
+	listRequests, knownAt := 0, never // knownAt: when the change counts as known
 	var lastSend Micros
 	add(0, fullList(2))
 	for len(queue) > 0 {
@@ -78,16 +80,16 @@
 				}
 				add(now+10_000, AttemptResult{ID: a.ID, Endpoint: a.Endpoint, Outcome: Completed, MessageEnded: true})
 			case Listen:
-				switch calls++; {
-				case calls <= failedBefore:
+				switch listRequests++; {
+				case listRequests <= failedBefore:
 					add(now+500, ListUpdate{Form: ListRequestFailed})
-				case calls <= failedBefore+len(failing):
-					request := failing[calls-failedBefore-1]
+				case listRequests <= failedBefore+len(failing):
+					request := failing[listRequests-failedBefore-1]
 					if request.watch {
 						add(now+watchReportedMicros, ListUpdate{Form: ListWatchOpen})
 					}
 					add(now+request.duration, ListUpdate{Form: ListRequestFailed})
-					if calls == failedBefore+len(failing) { // from now on discovery can be reached
+					if listRequests == failedBefore+len(failing) { // from now on discovery can be reached
 						change += now
 						knownAt = max(now, change) + knownAfter
 						if request.watch {
@@ -95,7 +97,7 @@
 						}
 						add(knownAt+grace-2*Second, nil)
 					}
-				case calls == failedBefore+len(failing)+1:
+				case listRequests == failedBefore+len(failing)+1:
 					add(max(now+discoveryAnswerMicros, change),
 						ListUpdate{Form: ListDelta, Entries: []Entry{{Endpoint: 1, Destination: 9, State: Draining}}})
 					add(now+discoveryAnswerMicros, ListUpdate{Form: ListWatchOpen})
@@ -107,8 +109,8 @@
 	return 0
 }
 
-// Guards against sends to a draining endpoint after the change counts as known and the drain grace is over. They come
-// about when list requests fail: here three of them, in each order, after some time without discovery or none.
+// Guards against sends to a draining endpoint after the change counts as known and the drain grace is over. They happen
+// when list requests fail: here three of them, in each order, after up to three that were refused.
 func TestNoSendAfterDrainGraceDespiteFailedListRequests(t *testing.T) {
 	for _, senders := range []int{2, 36, 80, 540} {
 		worst, worstText := never, ""
--- a/logic/memory_test.go
+++ b/logic/memory_test.go
@@ -37,7 +37,8 @@
 	return m.HeapAlloc
 }
 
-// runTraffic sends each destination one message every 50 s, as a sender of the target deployment does.
+// runTraffic sends each destination one message every 50 s, as a sender of the target deployment does, for the given
+// number of rounds. It returns the time after the last message.
 func runTraffic(s *Sender, now Micros, destinations, rounds int) Micros {
 	id := 0
 	for range rounds {
@@ -45,8 +46,8 @@
 		for destination := range destinations {
 			now += interval
 			id++
-			call := NewMessage{ID: fmt.Sprint(id), TimeLeft: 10 * Second, Destination: int64(destination), Tenant: -1}
-			for _, c := range actionsOf[CallOut](s.Step(now, []Event{call})) {
+			arrival := NewMessage{ID: fmt.Sprint(id), TimeLeft: 10 * Second, Destination: int64(destination), Tenant: -1}
+			for _, c := range actionsOf[CallOut](s.Step(now, []Event{arrival})) {
 				duration := 20_000 + Micros(id*7919%60_000)
 				s.Step(now+duration/1000, []Event{AttemptResult{ID: c.ID, Endpoint: c.Endpoint, Outcome: Completed,
 					MessageEnded: true, Duration: duration}})
@@ -161,7 +162,7 @@
 	if n := (int64(liveHeap()) - int64(before)) / destinations; n > bound {
 		t.Errorf("got %d B for each destination, want at most %d", n, bound)
 	}
-	// Learned state is dropped after idleStateAge, though no message comes for most destinations.
+	// Learned state is dropped after idleStateAge, even if no message arrives for a destination.
 	withHistogram := func() (n int) {
 		for _, d := range s.destinationOrder {
 			if d.histogram.bins != nil {
--- a/logic/pushed_list_test.go
+++ b/logic/pushed_list_test.go
@@ -2,10 +2,11 @@
 
 import "testing"
 
-// Guards against sends on a stale list where an agent pushes it. After a watch has ended, sends go on for the drain
-// grace less the processing delay, and stop then until the next update. If the agent is unresponsive they go on: it has
-// lost discovery and learns nothing new. After a start nothing is sent before the first answer, or before half of a
-// message's time is over.
+// Guards against sends on a stale list where an agent pushes it. The list is current while a watch is open. After a
+// watch has ended, or after an update without a watch, sends continue for the drain grace less maxProcessingDelay, and
+// then wait for the next update. An agent that does not answer at all has lost discovery and learns nothing new, so
+// sends continue on the list as it is. After a start on a saved list nothing is sent before the agent's first answer.
+// If the agent does not answer, a message waits for half of its time.
 func TestPushedListIsUsedForTheDrainGrace(t *testing.T) {
 	const grace = Second
 	lease := seconds(grace - maxProcessingDelay)
@@ -62,8 +63,8 @@
 	}
 }
 
-// newSavedListHarness returns a sender with a drain grace of one second, to which an agent pushes the list, just after
-// its start on a saved list that may be stale.
+// newSavedListHarness returns a harness whose sender has a drain grace of one second and gets its list from an agent.
+// The sender has just started on a saved list that may be stale.
 func newSavedListHarness(t *testing.T) *harness {
 	settings := baseSettings()
 	settings.ListPushed, settings.DrainGrace = true, Second
@@ -75,7 +76,7 @@
 }
 
 // Guards against sends on a saved list before the agent's first answer. With an unresponsive agent a message waits for
-// half of its time, and with unusable answers for as long as they come.
+// half of its time. After an unusable answer it waits for a usable one, up to maxUnusableListWait.
 func TestStartWaitsForTheAgentsAnswer(t *testing.T) {
 	for _, tc := range []struct {
 		update        ListUpdate
--- a/logic/repeat_window_test.go
+++ b/logic/repeat_window_test.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// Checks the six rules under random outcomes with short windows. With a window shorter than a tick no message is
-// repeated.
+// Checks the rules of ruleChecker under random outcomes with short windows. With a window shorter than a tick no
+// message is repeated.
 func TestRulesInAShortWindow(t *testing.T) {
 	for _, window := range []Micros{Second, Second / 10, 3000, 0} {
 		t.Run(fmt.Sprint(window), func(t *testing.T) {
--- a/logic/restart_test.go
+++ b/logic/restart_test.go
@@ -11,8 +11,8 @@
 	return h.step(100, fullList(2), m)
 }
 
-// Guards against repeats that a class does not allow: an attempt before a restart that may have run counts as one after
-// it does.
+// Guards against repeats that a class does not allow: an attempt that may have run before a restart counts like one
+// after the restart.
 func TestAttemptsBeforeARestartCount(t *testing.T) {
 	mayHaveRun := PriorAttempts{Tries: 1, MayHaveRun: true, SinceFirstSend: Second}
 	// The first send was as long ago as the window of the keyed class.
@@ -73,7 +73,7 @@
 	}
 }
 
-// Guards against an unsafe message lost at a stop: a call that is begun when the stop is known must end before it.
+// Guards against an unsafe message lost at a stop: a call that starts after the stop was announced must end before it.
 func TestNoCallThatOutlastsTheStop(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(1))
@@ -94,7 +94,7 @@
 	}
 }
 
-// Guards against a call that hangs unnoticed because no other event comes: a timer must check it.
+// Guards against a call that hangs unnoticed because no other event arrives: a timer must wake the sender to check it.
 func TestSingleHangingCallIsCheckedByTimer(t *testing.T) {
 	h := newHarness(t, baseSettings())
 	h.step(0, fullList(2))
@@ -168,7 +168,7 @@
 	for _, tc := range []struct {
 		name     string
 		maxOpen  int
-		update   ListUpdate // what comes after the start; ListWatchOpen stands for an open watch
+		update   ListUpdate // ListWatchOpen: a watch opens at the start; else no update arrives
 		class    int
 		timeLeft float64 // seconds
 	}{
@@ -196,7 +196,7 @@
 		}
 		if tc.update.Form != ListWatchOpen {
 			for id, at := range called {
-				if stale := settings.MaxListAge; at > 100+seconds(stale) && at < 100+seconds(stale+maxStaleListWait) {
+				if maxAge := settings.MaxListAge; at > 100+seconds(maxAge) && at < 100+seconds(maxAge+maxStaleListWait) {
 					t.Errorf("%s: message %s sent %.2f s after the start, on a list that is too old", tc.name, id, at-100)
 				}
 			}
@@ -237,8 +237,8 @@
 }
 
 // Guards against messages that expire untried during a restart. At a stop, untried messages with a deadline before the
-// next start are sent at once, whatever the pace; a new one of that kind that cannot be sent is refused at admission.
-// Messages that outlast the restart are kept for it.
+// next start are sent at once, whatever the pace; a new one of that kind that cannot be sent is refused at admission,
+// not accepted and ended untried. Messages that outlast the restart are kept for the next start.
 func TestStopSendsMessagesThatWouldExpireInTheRestart(t *testing.T) {
 	settings, list := lowLimitDeployment(200)
 	h := newHarness(t, settings)
--- a/logic/rules_test.go
+++ b/logic/rules_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// settingsVariants returns deployments that differ; each must keep the six rules under random outcomes.
+// settingsVariants returns deployments that differ; each must keep the rules of ruleChecker under random outcomes.
 func settingsVariants() map[string]Settings {
 	variant := func(change func(*Settings)) Settings { s := baseSettings(); change(&s); return s }
 	return map[string]Settings{
