--- a/logic/decision_test.go
+++ b/logic/decision_test.go
@@ -809,7 +809,7 @@
 }
 
 // With a high share of calls of a kind rejected, only messages of more than mean worth are retried.
-func TestHighRejectionRetriesOnlyWorthyMessages(t *testing.T) {
+func TestHighRejectedShareRetriesOnlyMessagesOfHighWorth(t *testing.T) {
 	ended := [3]bool{}
 	for class := range ended {
 		h := newLargeFleetHarness(t, 100, 5, 1)
