--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -1,6 +1,6 @@
 package node
 
-// The admin server, on which operators query readiness and disable or enable endpoints.
+// The admin server, through which operators query readiness and disable or enable endpoints.
 
 import (
 	"bufio"
@@ -20,7 +20,7 @@
 )
 
 const (
-	maxCommandBytes  = 256                    // of a call, with its end of line
+	maxCommandBytes  = 256                    // longest call, with its end of line
 	commandIOTimeout = 2 * time.Second        // for reading a call, and for writing its answer
 	commandTimeout   = 800 * time.Millisecond // for the loop to carry out a call: an answer is due within 1 s
 	maxOperatorConns = 24                     // connections at once
@@ -166,11 +166,11 @@
 }
 
 // evictSilent evicts the oldest connection that has sent no call; false if there is none. Its handler wakes and
-// closes the connection. The caller of evictSilent holds s.mu.
+// closes the connection. The caller holds s.mu.
 func (s *adminServer) evictSilent() bool {
 	var oldest net.Conn
-	for conn, caller := range s.conns {
-		if !caller.received && (oldest == nil || caller.connectedAt.Before(s.conns[oldest].connectedAt)) {
+	for conn, operator := range s.conns {
+		if !operator.received && (oldest == nil || operator.connectedAt.Before(s.conns[oldest].connectedAt)) {
 			oldest = conn
 		}
 	}
@@ -186,14 +186,14 @@
 func (s *adminServer) markReceived(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	caller := s.conns[conn]
-	if caller != nil {
-		caller.received = true
+	operator := s.conns[conn]
+	if operator != nil {
+		operator.received = true
 	}
-	return caller != nil
+	return operator != nil
 }
 
-// closeConn closes a connection after its answer has arrived.
+// closeConn closes a connection. Before that, it waits up to closeAckTimeout for the answer to be acknowledged.
 func (s *adminServer) closeConn(conn net.Conn) {
 	awaitAck(conn)
 	conn.Close()
@@ -206,8 +206,8 @@
 func (s *adminServer) wakeSilent() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for conn, caller := range s.conns {
-		if !caller.received {
+	for conn, operator := range s.conns {
+		if !operator.received {
 			conn.SetReadDeadline(time.Unix(1, 0))
 		}
 	}
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -136,20 +136,20 @@
 // Guards against a close without an answer: a connection of the admin server is evicted when its call has been
 // read and its handler has not recorded that yet.
 func TestOperatorCallReadDuringEvictionIsAnswered(t *testing.T) {
-	s, caller := newAdminServer(slog.New(slog.DiscardHandler), 64, nil), newConnPair(t)
-	if !s.addConn(caller.served) {
+	s, operator := newAdminServer(slog.New(slog.DiscardHandler), 64, nil), newConnPair(t)
+	if !s.addConn(operator.served) {
 		t.Fatal("connection was rejected")
 	}
 	s.mu.Lock()
 	s.wg.Go(func() {
-		s.handle(t.Context(), caller.served)
-		s.closeConn(caller.served)
+		s.handle(t.Context(), operator.served)
+		s.closeConn(operator.served)
 	})
-	io.WriteString(caller.conn, "ready\n")
+	io.WriteString(operator.conn, "ready\n")
 	time.Sleep(50 * time.Millisecond) // the handler has read the line and waits for the lock
 	evicted := s.evictSilent()
 	s.mu.Unlock()
-	if got := caller.readLine(); !evicted || !strings.HasPrefix(got, "fail ") {
+	if got := operator.readLine(); !evicted || !strings.HasPrefix(got, "fail ") {
 		t.Errorf("evicted %v, answered %q", evicted, got)
 	}
 	s.wg.Wait()
--- a/internal/node/client_close_test.go
+++ b/internal/node/client_close_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// Guards against dropping a request that is complete when its deadline ends: it must be answered.
+// Guards against dropping a request that is complete when its deadline passes: it must be answered.
 func TestCompleteRequestAtItsDeadlineIsAnswered(t *testing.T) {
 	c, client := newAcceptingClients(t), newConnPair(t)
 	client.send(putArgs("a")...)
@@ -139,8 +139,8 @@
 	return c.TCPConn.CloseWrite()
 }
 
-// closePaths holds, by name, the ways in which a connection is closed on which bytes have arrived. Each
-// function starts the reader in such a state.
+// closePaths holds, by name, the ways in which a connection with unread bytes is closed. Each function starts the
+// reader in a state that leads to that close.
 var closePaths = map[string]func(c *clients, cc *clientConn){
 	"no first request in time": func(c *clients, cc *clientConn) { c.startConn(cc, time.Now().Add(-time.Second)) },
 	"request not in time":      func(c *clients, cc *clientConn) { c.startConn(cc, time.Now().Add(100*time.Millisecond)) },
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -28,7 +28,8 @@
 //     process owns it, and this one closes its descriptor, or it becomes idle again.
 //   - connClosing: an evictor or the reader has decided on the close. No further MSG.PUT is carried out; the
 //     reader answers the requests that have arrived.
-//   - connDrained: each request that was read has its answer. Only the close is left.
+//   - connDrained: each request that was read has its answer, unless the client is gone or does not take answers.
+//     Only the close is left.
 type connState int
 
 const (
@@ -37,7 +38,7 @@
 	connAnswering                  // has read a complete request and must answer it
 	connParked                     // has no reader during a handover
 	connClosing                    // about to be closed
-	connDrained                    // all requests that were read are answered
+	connDrained                    // about to be closed, with nothing left to answer
 )
 
 func (s connState) String() string {
@@ -209,7 +210,8 @@
 	return true
 }
 
-// awaitRequest waits for the first byte of a request. After an error the connection is closed or parked.
+// awaitRequest waits for the first byte of a request. After an error the connection is closed, unless park parks it or
+// asks for a retry.
 func (cc *clientConn) awaitRequest() error {
 	_, err := cc.reader.Peek(1)
 	if errors.Is(err, os.ErrDeadlineExceeded) && cc.table.isClosing() {
--- a/internal/node/client_eviction_test.go
+++ b/internal/node/client_eviction_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// newSmallTable starts a client table for 16 connections and returns its address.
+// newSmallTable starts a client table for 16 connections and returns it and its address.
 func newSmallTable(t *testing.T) (*clients, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/client_handover.go
+++ b/internal/node/client_handover.go
@@ -13,7 +13,7 @@
 // clientHandover is the state of a handover in progress.
 type clientHandover struct {
 	sealed  bool          // the state is complete: nothing more is transferred
-	decided chan struct{} // closed once it is known which process goes on
+	decided chan struct{} // closed once the handover has succeeded or failed
 	parked  []net.Conn    // idle connections without a reader
 }
 
@@ -98,7 +98,7 @@
 	}
 }
 
-// unfreeze ends a handover that failed: this process goes on serving the parked connections.
+// unfreeze ends a handover that failed: this process serves the parked connections again.
 func (c *clients) unfreeze(parked []net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,8 +121,8 @@
 	c.resumeParked(remaining)
 }
 
-// park parks the connection for a handover. If it is too late for that, park waits until it is known which
-// process goes on, and retry is true. Without a handover, or if the connection is closing, both are false.
+// park parks the connection for a handover. If the state is sealed already, park waits until the handover has
+// succeeded or failed, and retry is true. Without a handover, or if the connection is closing, both are false.
 func (cc *clientConn) park() (parked, retry bool) {
 	c := cc.table
 	c.mu.Lock()
@@ -143,8 +143,8 @@
 }
 
 // admitRequest decides where a message goes: to the loop if successorAddr is empty, otherwise to that address.
-// During a handover it waits until that is known. A message for the loop counts as pending until
-// releaseRequest, which must follow.
+// Once the state of a handover is sealed, it waits until the handover has succeeded or failed. A message for
+// the loop counts as pending until releaseRequest, which must follow.
 func (c *clients) admitRequest() (successorAddr string) {
 	for {
 		c.mu.Lock()
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -19,7 +19,8 @@
 )
 
 const (
-	maxPeerDuration = 24 * time.Hour // longest time to a deadline or wait that is taken from a peer
+	// maxPeerDuration limits times that peers set: a longer time to a deadline is rejected, a longer wait is shortened.
+	maxPeerDuration = 24 * time.Hour
 	// requestReadTimeout is for reading one whole request. For the first request of a connection it starts with the
 	// connection.
 	requestReadTimeout = 2500 * time.Millisecond
--- a/internal/node/concurrent_events_test.go
+++ b/internal/node/concurrent_events_test.go
@@ -25,28 +25,28 @@
 	onFirstRead func()
 }
 
-func (g *hookReader) Read(b []byte) (int, error) {
-	if g.onFirstRead != nil {
-		g.onFirstRead()
-		g.onFirstRead = nil
+func (r *hookReader) Read(b []byte) (int, error) {
+	if r.onFirstRead != nil {
+		r.onFirstRead()
+		r.onFirstRead = nil
 	}
-	return g.Reader.Read(b)
+	return r.Reader.Read(b)
 }
 
 // An endpoint closes or resets an idle connection while a request is being written on it. After a close the whole
 // request is written and may have run as far as the sender knows, so the transport does not send it again.
 func TestIdleConnectionClosedDuringRequestIsNotRetried(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		e, c := newTestEndpoint(t), newTestTransport()
-		got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+		e, tr := newTestEndpoint(t), newTestTransport()
+		got := doInBackground(t.Context(), tr, newTestCall(t, e.addr(), "hello", testTimeout))
 		await(t, e.calls, "call").reply(200)
 		await(t, got, "result")
 		conn := (<-e.conns).(*net.TCPConn)
-		c.mu.Lock()
-		idle := c.idle[1][0]
-		c.mu.Unlock()
-		in := newTestCall(t, e.addr(), "hello", testTimeout)
-		in.request.Body = io.NopCloser(&hookReader{strings.NewReader("hello"), func() {
+		tr.mu.Lock()
+		idle := tr.idle[1][0]
+		tr.mu.Unlock()
+		outgoing := newTestCall(t, e.addr(), "hello", testTimeout)
+		outgoing.request.Body = io.NopCloser(&hookReader{strings.NewReader("hello"), func() {
 			if reset {
 				conn.SetLinger(0)
 			}
@@ -57,7 +57,7 @@
 				}
 			}
 		}})
-		r := c.do(t.Context(), in)
+		r := tr.do(t.Context(), outgoing)
 		if !reset && r.outcome != logic.ConnBroken || reset && r.outcome != logic.ConnRefused {
 			t.Errorf("reset %v: got %+v", reset, r) // a reset is visible before the write, so nothing is written
 		}
@@ -71,18 +71,18 @@
 // A call that was decided before the end of its message, and would be written after it on an idle connection, is not
 // sent.
 func TestCallIsNotSentAfterMessageEnd(t *testing.T) {
-	e, c := newTestEndpoint(t), newTestTransport()
-	got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+	e, tr := newTestEndpoint(t), newTestTransport()
+	got := doInBackground(t.Context(), tr, newTestCall(t, e.addr(), "hello", testTimeout))
 	await(t, e.calls, "call").reply(200)
 	await(t, got, "result")
 	for range 50 {
-		in := newTestCall(t, e.addr(), "hello", testTimeout)
-		in.reusedConn = c.takeIdle(in.endpoint, in.addr)
+		outgoing := newTestCall(t, e.addr(), "hello", testTimeout)
+		outgoing.reusedConn = tr.takeIdle(outgoing.endpoint, outgoing.addr)
 		ctx, stop := context.WithCancelCause(t.Context())
-		h := &heldMessage{message: &Message{ID: in.id}, call: in, cancelCall: stop}
-		n := &Node{held: map[string]*heldMessage{in.id: h}, openMessages: 1, recentIDs: map[string]time.Time{}, clock: clock.New()}
-		n.endMessage(in.id, h) // before the goroutine of the call has begun
-		if r := c.do(ctx, in); r.outcome != logic.NotSent {
+		h := &heldMessage{message: &Message{ID: outgoing.id}, call: outgoing, cancelCall: stop}
+		n := &Node{held: map[string]*heldMessage{outgoing.id: h}, openMessages: 1, recentIDs: map[string]time.Time{}, clock: clock.New()}
+		n.endMessage(outgoing.id, h) // before the goroutine of the call has begun
+		if r := tr.do(ctx, outgoing); r.outcome != logic.NotSent {
 			t.Fatalf("got %+v", r)
 		}
 	}
@@ -91,16 +91,16 @@
 
 // A call that is cancelled before its first byte is not written.
 func TestCancelledCallIsNotSent(t *testing.T) {
-	e, c := newTestEndpoint(t), newTestTransport()
-	got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+	e, tr := newTestEndpoint(t), newTestTransport()
+	got := doInBackground(t.Context(), tr, newTestCall(t, e.addr(), "hello", testTimeout))
 	await(t, e.calls, "call").reply(200)
 	await(t, got, "result")
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 50 {
-		in := newTestCall(t, e.addr(), "hello", testTimeout)
-		in.reusedConn = c.takeIdle(in.endpoint, in.addr)
-		if r := c.do(ctx, in); r.outcome != logic.NotSent {
+		outgoing := newTestCall(t, e.addr(), "hello", testTimeout)
+		outgoing.reusedConn = tr.takeIdle(outgoing.endpoint, outgoing.addr)
+		if r := tr.do(ctx, outgoing); r.outcome != logic.NotSent {
 			t.Fatalf("got %+v", r)
 		}
 	}
@@ -109,25 +109,26 @@
 
 // A call whose connection is established only after the call's timeout is not written, so that nothing runs late.
 func TestConnectionOpenedAfterTimeoutIsNotUsed(t *testing.T) {
-	e, c := newTestEndpoint(t), newTestTransport()
-	in := newTestCall(t, e.addr(), "hello", 50*time.Millisecond)
-	in.mayWrite = func(context.Context) bool { // the connection is up; the permission comes late
-		<-time.After(time.Until(in.startedAt.Add(in.timeout + time.Millisecond)))
+	e, tr := newTestEndpoint(t), newTestTransport()
+	outgoing := newTestCall(t, e.addr(), "hello", 50*time.Millisecond)
+	outgoing.mayWrite = func(context.Context) bool { // the connection is up; the permission comes late
+		<-time.After(time.Until(outgoing.startedAt.Add(outgoing.timeout + time.Millisecond)))
 		return true
 	}
-	if r := c.do(t.Context(), in); r.outcome != logic.ConnRefused {
+	if r := tr.do(t.Context(), outgoing); r.outcome != logic.ConnRefused {
 		t.Errorf("got %+v, want ConnRefused", r)
 	}
 	await(t, e.conns, "connection")
 	e.expectNoCall(t)
 }
 
-// A response that never ends is cut off by the timeouts and the size limit, and its connection is not kept.
+// A response that never ends is cut off by the timeouts and the size limit. It delays only its own message, by about a
+// second at most, and its connection is not kept.
 func TestEndlessAnswersAreCutOff(t *testing.T) {
-	e, c := newTestEndpoint(t), newTestTransport()
+	e, tr := newTestEndpoint(t), newTestTransport()
 	for _, x := range []struct {
-		begin, on string
-		want      logic.Outcome
+		begin, repeated string
+		want            logic.Outcome
 	}{
 		{"HTTP/1.1 200 OK\r\n", "X-More: of it\r\n", logic.Completed},
 		{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "4\r\nmore\r\n", logic.Completed},
@@ -137,19 +138,19 @@
 		{"", "HTTP/1.1 100 Continue\r\n\r\n", logic.ConnBroken},
 		{"HTTP/1.1 ", "5", logic.ConnBroken},
 	} {
-		got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+		got := doInBackground(t.Context(), tr, newTestCall(t, e.addr(), "hello", testTimeout))
 		in := await(t, e.calls, "call")
 		go func() {
 			_, err := io.WriteString(in.conn, x.begin)
 			for err == nil {
-				_, err = io.WriteString(in.conn, x.on)
+				_, err = io.WriteString(in.conn, x.repeated)
 			}
 			in.keepReading <- false
 		}()
 		if r := await(t, got, "result"); r.outcome != x.want {
-			t.Errorf("%q followed by %q without end: outcome %d, want %d", x.begin, x.on, r.outcome, x.want)
+			t.Errorf("%q followed by %q without end: outcome %d, want %d", x.begin, x.repeated, r.outcome, x.want)
 		}
-		if c.idleCount() != 0 {
+		if tr.idleCount() != 0 {
 			t.Errorf("%q: connection is kept", x.begin)
 		}
 	}
@@ -165,7 +166,7 @@
 		}
 		defer ln.Close()
 		var mu sync.Mutex
-		whole := 0
+		completeCount := 0
 		go func() {
 			for {
 				conn, err := ln.Accept()
@@ -183,7 +184,7 @@
 					}
 					if strings.HasSuffix(seen.String(), "body of a") {
 						mu.Lock()
-						whole++
+						completeCount++
 						mu.Unlock()
 					}
 					conn.(*net.TCPConn).SetLinger(0)
@@ -202,8 +203,8 @@
 		}
 		stopWithNothingOwed(t, n)
 		mu.Lock()
-		if whole > 1 || len(p.notices) != 0 {
-			t.Errorf("reset after %d bytes: received completely %d times, %d more notices", after, whole, len(p.notices))
+		if completeCount > 1 || len(p.notices) != 0 {
+			t.Errorf("reset after %d bytes: received completely %d times, %d more notices", after, completeCount, len(p.notices))
 		}
 		mu.Unlock()
 	}
--- a/internal/node/crash_test.go
+++ b/internal/node/crash_test.go
@@ -114,15 +114,15 @@
 
 // A call that is cancelled while it waits for the permission to write, or that is denied it, is not written.
 func TestCallWithoutWritePermissionIsNotSent(t *testing.T) {
-	e, c := newTestEndpoint(t), newTestTransport()
+	e, tr := newTestEndpoint(t), newTestTransport()
 	ctx, cancel := context.WithCancel(t.Context())
 	for _, allow := range []func(context.Context) bool{
 		func(context.Context) bool { return false },
 		func(ctx context.Context) bool { cancel(); <-ctx.Done(); return false },
 	} {
-		in := newTestCall(t, e.addr(), "hello", testTimeout)
-		in.mayWrite = allow
-		if r := c.do(ctx, in); r.outcome != logic.NotSent {
+		outgoing := newTestCall(t, e.addr(), "hello", testTimeout)
+		outgoing.mayWrite = allow
+		if r := tr.do(ctx, outgoing); r.outcome != logic.NotSent {
 			t.Errorf("got %+v, want NotSent", r)
 		}
 	}
@@ -158,7 +158,8 @@
 		if err := os.WriteFile(filepath.Join(dir, journalFileName), whole[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(dir, journalFileName+".new"), whole[cut/2:], 0o600); err != nil { // partial
+		// A partial rewrite.
+		if err := os.WriteFile(filepath.Join(dir, journalFileName+".new"), whole[cut/2:], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		records := 0
@@ -178,8 +179,9 @@
 	}
 }
 
-// After SIGKILL and after SIGTERM the next start sends all untried messages of the journal, even if an endpoint had
-// asked the last process for a wait, which is not kept over a restart, and discovery does not respond.
+// After SIGKILL and after SIGTERM the next start sends all untried messages of the journal, with 16 s or less to their
+// deadlines, although discovery does not respond. An endpoint had asked the last process for a wait, which is not kept
+// over a restart.
 func TestRestartSendsAllOwedMessages(t *testing.T) {
 	for _, x := range []struct {
 		name string
--- a/internal/node/descriptor_reserve_test.go
+++ b/internal/node/descriptor_reserve_test.go
@@ -141,7 +141,8 @@
 // client table and calls wait for endpoints that do not answer, so that only the descriptors reserved for the
 // process are free. Once discovery is back, the list and the notices must get through.
 func TestDiscoveryIsReachedWithAllDescriptorsInUse(t *testing.T) {
-	const sockets, slots, hungCalls = 256, 160, 120 // half of the descriptors for clients plus the calls exceed them
+	// Clients may hold half of the descriptors. Together with the calls that is more than there are.
+	const sockets, slots, hungCalls = 256, 160, 120
 	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
@@ -174,7 +175,7 @@
 				put(fmt.Sprint("m", i), "unsafe", 60000, 1+i%2)
 			}
 			open := openIdleClients(t, proc.addr, sockets)
-			maxInUse, callsOut := 0, 0
+			maxInUse, callsReceived := 0, 0
 			for stop := time.Now().Add(5 * time.Second); time.Now().Before(stop); time.Sleep(50 * time.Millisecond) {
 				fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", proc.cmd.Process.Pid))
 				if err != nil {
@@ -184,13 +185,13 @@
 				for _, e := range hung {
 					for len(e.calls) > 0 {
 						<-e.calls
-						callsOut++
+						callsReceived++
 					}
 				}
 			}
 			t.Logf("%d calls in progress, %d idle clients, at most %d of %d descriptors in use",
-				callsOut, open.Load(), maxInUse, sockets)
-			if maxInUse > sockets-8 { // the rest is for discovery and notices
+				callsReceived, open.Load(), maxInUse, sockets)
+			if maxInUse > sockets-8 { // 8 must stay free for discovery and notices
 				t.Errorf("%d descriptors in use", maxInUse)
 			}
 			recoveredAt := time.Now()
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -22,7 +22,7 @@
 }
 
 // A new process takes everything over: the client's connection, the unsafe call in flight with its connection, the wait
-// of a destination, the endpoint that an operator took out, and the messages. The old process ends by itself.
+// of a destination, the endpoint that an operator disabled, and the messages. The old process ends by itself.
 func TestUpgradeHandsEverythingOver(t *testing.T) {
 	p, e, dir, known, old := startUpgradeProcess(t)
 	other := newTestEndpoint(t)
@@ -100,11 +100,11 @@
 	ready := make(chan *testNode)
 	admins := make(chan *adminServer, 1)
 	go func() { ready <- startNodeWithConfig(t, cfg, dir, func(n *Node) { admins <- n.admin }) }()
-	d := await(t, admins, "admin server")
-	for d.address() == nil {
+	admin := await(t, admins, "admin server")
+	for admin.address() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	expectOperatorAnswer(t, d.address().String(), "ready", "fail")
+	expectOperatorAnswer(t, admin.address().String(), "ready", "fail")
 	select {
 	case <-ready:
 		t.Fatal("second process is ready while the owner runs")
--- a/internal/node/journal_test.go
+++ b/internal/node/journal_test.go
@@ -210,7 +210,7 @@
 	}
 }
 
-// Endpoints that operators have taken out stay out after a rewrite and a restart; those they have put back do not.
+// Endpoints that operators have disabled stay disabled after a rewrite and a restart, unless they were enabled again.
 func TestJournalKeepsDisabledEndpoints(t *testing.T) {
 	dir := t.TempDir()
 	j := openJournal(t, dir, 3e6)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -345,7 +345,7 @@
 	stopWithNothingOwed(t, n)
 }
 
-// A truncated list is ignored: the sender goes on with the last complete list and repeats its request.
+// A truncated list is ignored: the sender keeps using the last complete list and repeats its request.
 func TestTruncatedListIsIgnored(t *testing.T) {
 	p := newTestPlatform(t)
 	e, moved := newTestEndpoint(t), newTestEndpoint(t)
@@ -540,11 +540,11 @@
 			t.Fatal("timed out waiting for the request")
 		}
 	}
-	served := newClients(&Config{}, slog.New(slog.DiscardHandler), nil)
-	x := newClientConn(served, conn, time.Time{})
-	served.closing, served.conns[conn] = true, x
+	table := newClients(&Config{}, slog.New(slog.DiscardHandler), nil)
+	cc := newClientConn(table, conn, time.Time{})
+	table.closing, table.conns[conn] = true, cc
 	conn.SetReadDeadline(time.Now())
-	x.serve(time.Now().Add(requestReadTimeout))
+	cc.serve(time.Now().Add(requestReadTimeout))
 	if got := c.readLine(); got != "+PONG" {
 		t.Errorf("got %q", got)
 	}
@@ -559,17 +559,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	served := newClients(&Config{}, slog.New(slog.DiscardHandler), nil)
-	go served.serve(ln)
+	table := newClients(&Config{}, slog.New(slog.DiscardHandler), nil)
+	go table.serve(ln)
 	c := dialClient(t, ln.Addr().String())
 	io.WriteString(c.conn, "*1\r\n$4\r\n")
 	for stop := time.Now().Add(testTimeout); ; {
-		served.mu.Lock()
+		table.mu.Lock()
 		started := false
-		for _, x := range served.conns {
-			started = started || x.state == connReading
+		for _, cc := range table.conns {
+			started = started || cc.state == connReading
 		}
-		served.mu.Unlock()
+		table.mu.Unlock()
 		if started {
 			break
 		}
@@ -579,8 +579,8 @@
 	}
 	ln.Close()
 	done := make(chan bool, 1)
-	go func() { served.shutdown(t.Context()); done <- true }()
-	for !served.isClosing() {
+	go func() { table.shutdown(t.Context()); done <- true }()
+	for !table.isClosing() {
 	}
 	io.WriteString(c.conn, "PING\r\n")
 	if got := c.readLine(); got != "+PONG" {
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -70,7 +70,7 @@
 	return startProcessWithConfig(t, p, dir, configText(p, known), listen, exec.Command(path))
 }
 
-// startProcessWithConfig starts the program by a given command with a given configuration.
+// startProcessWithConfig starts the program with a given command and configuration, and waits until it is ready.
 func startProcessWithConfig(t *testing.T, p *testPlatform, dir string, text []byte, listen string, cmd *exec.Cmd) *process {
 	t.Helper()
 	config := filepath.Join(t.TempDir(), "config.json")
@@ -241,8 +241,8 @@
 	e.expectNoCall(t)
 }
 
-// A planned restart: connections of clients are closed between requests, and the call in flight ends and is journaled,
-// so that no message is left for the next start.
+// A planned restart: clients are served for shutdownAcceptTime, then their connections are closed between requests. The
+// call in flight ends and is journaled, so that no message is left for the next start.
 func TestSIGTERMDuringCall(t *testing.T) {
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		t.Run(class, func(t *testing.T) {
@@ -294,8 +294,8 @@
 	x.kill()
 }
 
-// After SIGHUP the list and the notices use the address of discovery in the configuration file, and the program goes
-// on.
+// After SIGHUP the list and the notices use the address of discovery in the configuration file, and the program keeps
+// running.
 func TestSIGHUPMovesDiscovery(t *testing.T) {
 	p, q, e, dir := newTestPlatform(t), newTestPlatform(t), newTestEndpoint(t), t.TempDir()
 	known := discovery.List{Generation: 7, Reset: true, Instances: instancesOf(e)}
--- a/internal/node/pushed_list_test.go
+++ b/internal/node/pushed_list_test.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// With a pushed list, what the agent of discovery has counts as known to a process from its start, even before a watch
-// is open. So a process that has just started for the first time sends nothing to a draining endpoint after the grace,
-// with few senders or many (incident 1).
+// Guards against calls to a draining endpoint after the drain grace by a process that has just started for the first
+// time. With a pushed list, what the agent of discovery has counts as known to a process from its start, even before a
+// watch is open. This holds with few senders and with many.
 func TestFirstStartRespectsDrainKnownToAgent(t *testing.T) {
 	path, err := buildProgram()
 	if err != nil {
--- a/internal/node/restart_time_test.go
+++ b/internal/node/restart_time_test.go
@@ -58,7 +58,7 @@
 }
 
 // fillJournal writes waiting messages to a journal until it has about that many bytes, and returns their number.
-func fillJournal(t *testing.T, dir string, bytes int64, dests int) (count int) {
+func fillJournal(t *testing.T, dir string, bytes int64, destinations int) (count int) {
 	t.Helper()
 	j, err := OpenJournal(dir, 0)
 	if err != nil {
@@ -67,7 +67,7 @@
 	defer j.Close()
 	body, deadline := make([]byte, 256), time.Now().Add(time.Hour).UnixMicro()
 	for j.size < bytes-1<<10 {
-		m := Message{ID: fmt.Sprintf("%016x", count), Class: "safe", Destination: int64(count % dests), Deadline: deadline, Body: body}
+		m := Message{ID: fmt.Sprintf("%016x", count), Class: "safe", Destination: int64(count % destinations), Deadline: deadline, Body: body}
 		if err := j.Append([]record{{Op: opAccept, Entry: &Entry{Message: m}}}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/saved_list_test.go
+++ b/internal/node/saved_list_test.go
@@ -202,7 +202,7 @@
 }
 
 // The state folder stays within the disk limit through all changes of the list and of messages. A list that does not
-// fit is not saved, which is logged once, and the sender goes on.
+// fit is not saved, which is logged once, and the sender keeps running.
 func TestStateFolderStaysWithinDiskLimit(t *testing.T) {
 	const steps = 40
 	for name, x := range map[string]struct {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -19,9 +19,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	served := newClients(&Config{}, slog.New(slog.DiscardHandler), nil)
-	go served.serve(ln)
-	return served, ln
+	table := newClients(&Config{}, slog.New(slog.DiscardHandler), nil)
+	go table.serve(ln)
+	return table, ln
 }
 
 // deadlineContext is a context that reports a deadline and is not cancelled at it.
@@ -30,12 +30,12 @@
 	deadline time.Time
 }
 
-func (u deadlineContext) Deadline() (time.Time, bool) { return u.deadline, true }
+func (c deadlineContext) Deadline() (time.Time, bool) { return c.deadline, true }
 
 // A client that keeps sending requests is answered and does not delay the shutdown. At its end no request is left that
 // was read and not answered.
 func TestShutdownEndsDespiteClientThatKeepsSending(t *testing.T) {
-	served, ln := serveClientsOnly(t)
+	table, ln := serveClientsOnly(t)
 	conn, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -66,7 +66,7 @@
 	}()
 	done := make(chan bool, 1)
 	go func() {
-		served.shutdown(deadlineContext{t.Context(), time.Now().Add(3 * lastRequestTimeout)})
+		table.shutdown(deadlineContext{t.Context(), time.Now().Add(3 * lastRequestTimeout)})
 		done <- true
 	}()
 	await(t, done, "end of the shutdown while the client sends on")
@@ -76,12 +76,12 @@
 // A client that has just connected when the sender stops has firstRequestGrace for its first request, which would fail
 // if the connection were closed. A client that sends nothing does not delay the shutdown.
 func TestShutdownAnswersFirstRequestOfNewClient(t *testing.T) {
-	served, ln := serveClientsOnly(t)
+	table, ln := serveClientsOnly(t)
 	c, silent := dialClient(t, ln.Addr().String()), dialClient(t, ln.Addr().String())
 	for stop := time.Now().Add(testTimeout); ; {
-		served.mu.Lock()
-		n := len(served.conns)
-		served.mu.Unlock()
+		table.mu.Lock()
+		n := len(table.conns)
+		table.mu.Unlock()
 		if n == 2 {
 			break
 		}
@@ -89,17 +89,17 @@
 			t.Fatal("timed out waiting for two connections")
 		}
 	}
-	served.mu.Lock()
-	for conn, x := range served.conns { // one has just connected, the grace of the other is over
-		x.idleSince = time.Now().Add(-firstRequestGrace)
+	table.mu.Lock()
+	for conn, cc := range table.conns { // one has just connected, the grace of the other is over
+		cc.idleSince = time.Now().Add(-firstRequestGrace)
 		if conn.RemoteAddr().String() == c.conn.LocalAddr().String() {
-			x.idleSince = time.Now().Add(testTimeout)
+			cc.idleSince = time.Now().Add(testTimeout)
 		}
 	}
-	served.mu.Unlock()
+	table.mu.Unlock()
 	done := make(chan bool, 1)
-	go func() { served.shutdown(t.Context()); done <- true }()
-	for !served.isClosing() {
+	go func() { table.shutdown(t.Context()); done <- true }()
+	for !table.isClosing() {
 	}
 	if got := silent.readLine(); got != "" {
 		t.Errorf("silent client got %q", got)
--- a/internal/node/transfer_bench_test.go
+++ b/internal/node/transfer_bench_test.go
@@ -13,17 +13,17 @@
 	"crossdeal/logic"
 )
 
-// newLargeNode returns a node with a large state, as far as a transfer needs it: dests destinations with two endpoints
-// each, which have all served messages.
-func newLargeNode(t testing.TB, dests int) *Node {
+// newLargeNode returns a node with a large state, as far as a transfer needs it: a number of destinations with two
+// endpoints each, which have all served messages.
+func newLargeNode(t testing.TB, destinations int) *Node {
 	t.Helper()
 	cfg := newLargeConfig(t)
 	n, err := New(cfg, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	rows := make([]discovery.Instance, 0, 2*dests)
-	for i := range 2 * dests {
+	rows := make([]discovery.Instance, 0, 2*destinations)
+	for i := range 2 * destinations {
 		rows = append(rows, discovery.Instance{ID: fmt.Sprintf("instance-%06d", i), HostPort: fmt.Sprintf("10.%d.%d.%d:8080",
 			i>>16, i>>8&255, i&255), Zone: "a", Kind: "std", Destination: int64(i / 2), Lifecycle: "up", Weight: 30})
 	}
@@ -31,8 +31,8 @@
 	n.sender.Step(0, []logic.Event{logic.ListUpdate{Form: logic.ListFull, Entries: entries}})
 	now, id := logic.Micros(0), 0
 	for range 3 {
-		for d := range dests {
-			now += 50 * logic.Second / logic.Micros(dests)
+		for d := range destinations {
+			now += 50 * logic.Second / logic.Micros(destinations)
 			id++
 			call := logic.NewMessage{ID: fmt.Sprint(id), TimeLeft: 10 * logic.Second, Destination: int64(d), Tenant: -1}
 			for _, a := range n.sender.Step(now, []logic.Event{call}) {
@@ -109,10 +109,10 @@
 // BenchmarkTransfer measures a state transfer between two nodes in one process: the size of the state, the time in
 // which neither decides anything, and the memory allocated on both sides.
 func BenchmarkTransfer(b *testing.B) {
-	for _, dests := range []int{1000, 10_000, 100_000} {
+	for _, destinations := range []int{1000, 10_000, 100_000} {
 		for _, format := range []string{handoverRequestText, handoverRequestRows} {
-			b.Run(fmt.Sprintf("dests=%d/%s", dests, format[len("take "):]), func(b *testing.B) {
-				owner := newLargeNode(b, dests)
+			b.Run(fmt.Sprintf("dests=%d/%s", destinations, format[len("take "):]), func(b *testing.B) {
+				owner := newLargeNode(b, destinations)
 				for b.Loop() {
 					b.StopTimer()
 					runtime.GC()
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -24,7 +24,7 @@
 )
 
 // previousFormatDir holds the state folder of a process of the version before the row format, and the state that it
-// sent to a successor: 14 messages delivered at s-0, s-1 taken out by an operator, the call of message "out" in flight
+// sent to a successor: 14 messages delivered at s-0, s-1 disabled by an operator, the call of message "out" in flight
 // at s-0, message "w" rejected by s-w with a retry-after of 60 s, s-u draining. Addresses are placeholders. The tests
 // move its times to the present.
 const previousFormatDir = "testdata/form1"
@@ -114,7 +114,7 @@
 }
 
 // A process of the previous version hands over in its format, and its state is resumed: the call in flight, the wait,
-// the endpoint that an operator took out, the client's connection and the tables of the decision logic.
+// the endpoint that an operator disabled, the client's connection and the tables of the decision logic.
 func TestUpgradeFromPreviousFormat(t *testing.T) {
 	p, dir := newTestPlatform(t), copyRecordedDir(t)
 	a, b, w := newTestEndpoint(t), newTestEndpoint(t), newTestEndpoint(t)
@@ -282,13 +282,13 @@
 	n := startNode(t, p, t.TempDir(), known)
 	c := dialClient(t, n.addr)
 	for _, read := range []int{8, 400_000} {
-		conn, at := requestStateInFormat(t, n.cfg.StateDir, handoverRequestRows), time.Now()
+		conn, startedAt := requestStateInFormat(t, n.cfg.StateDir, handoverRequestRows), time.Now()
 		for {
 			_, err := io.ReadFull(conn, make([]byte, read))
 			if err == nil {
 				break
 			}
-			if time.Since(at) > 2*handoverFailureDelay { // until then the owner may refuse
+			if time.Since(startedAt) > 2*handoverFailureDelay { // until then the owner may refuse
 				t.Fatal(err)
 			}
 			conn.Close()
@@ -299,10 +299,10 @@
 			conn.Close()
 		}
 		id := fmt.Sprintf("a-%d", time.Now().UnixNano())
-		at = time.Now()
+		startedAt = time.Now()
 		c.put(id, "safe", "+OK")
 		in := await(t, e.calls, "call")
-		if took := time.Since(at); took > 2*handoverStallTimeout {
+		if took := time.Since(startedAt); took > 2*handoverStallTimeout {
 			t.Errorf("message sent after %v", took)
 		}
 		in.reply(200)
@@ -310,8 +310,8 @@
 	}
 }
 
-// A successor that requests the state as one text is refused before anything is frozen if the text would be too large.
-// The successor would reject such a text and request it again at once.
+// A successor of the previous version, which requests the state as one text, is refused before anything is frozen if the
+// text would be too large. The successor would reject such a text and request it again at once.
 func TestHandoverRefusedWhenStateTooLargeForOneText(t *testing.T) {
 	n, c, _, eps := startNodeWithEndpoints(t, 1)
 	for i := range maxStateTextBytes/minTextBytesPerName + 1 {
--- a/internal/node/transport_test.go
+++ b/internal/node/transport_test.go
@@ -27,15 +27,15 @@
 func newTestTransport() *transport { return newTransport(time.Second, 10*time.Second, 4, 16) }
 
 // doInBackground makes a call in a goroutine and returns a channel for its result.
-func doInBackground(ctx context.Context, c *transport, in *call) <-chan callResult {
+func doInBackground(ctx context.Context, tr *transport, outgoing *call) <-chan callResult {
 	ch := make(chan callResult, 1)
-	go func() { ch <- c.do(ctx, in) }()
+	go func() { ch <- tr.do(ctx, outgoing) }()
 	return ch
 }
 
 // Each response maps to its outcome. A wrong outcome would repeat what may have run, or give up what has not run.
 func TestOutcomeOfEachAnswer(t *testing.T) {
-	e, c := newTestEndpoint(t), newTestTransport()
+	e, tr := newTestEndpoint(t), newTestTransport()
 	for _, x := range []struct {
 		status  int
 		headers []string
@@ -52,7 +52,7 @@
 		{504, nil, callResult{outcome: logic.NotSent}},
 		{410, nil, callResult{outcome: logic.NotSent, messageEnded: true}},
 	} {
-		got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+		got := doInBackground(t.Context(), tr, newTestCall(t, e.addr(), "hello", testTimeout))
 		in := await(t, e.calls, "call")
 		if in.body != "hello" || in.id() != "m1" || in.request.Header.Get("Idempotency-Key") != "k1" ||
 			in.request.Header.Get("X-Expires-In-Ms") != "20000" || in.request.URL.Path != "/inbox" {
@@ -82,10 +82,10 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	c := newTestTransport()
-	c.dialer.Control = small
+	tr := newTestTransport()
+	tr.dialer.Control = small
 	// Far more than both buffers hold, so that the last byte cannot have been written.
-	got := doInBackground(t.Context(), c, newTestCall(t, ln.Addr().String(), strings.Repeat("x", 8<<20), testTimeout))
+	got := doInBackground(t.Context(), tr, newTestCall(t, ln.Addr().String(), strings.Repeat("x", 8<<20), testTimeout))
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -102,13 +102,13 @@
 
 // After the last byte is written the call may have run, however the connection ends.
 func TestBreakAfterLastByteCountsAsConnBroken(t *testing.T) {
-	e, c := newTestEndpoint(t), newTestTransport()
-	got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+	e, tr := newTestEndpoint(t), newTestTransport()
+	got := doInBackground(t.Context(), tr, newTestCall(t, e.addr(), "hello", testTimeout))
 	await(t, e.calls, "call").reset()
 	if r := await(t, got, "result"); r.outcome != logic.ConnBroken {
 		t.Errorf("reset: got %+v, want ConnBroken", r)
 	}
-	got = doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+	got = doInBackground(t.Context(), tr, newTestCall(t, e.addr(), "hello", testTimeout))
 	in := await(t, e.calls, "call")
 	io.WriteString(in.conn, "HTTP/1.1 2")
 	in.conn.Close()
@@ -120,9 +120,9 @@
 
 // A call to a port without a listener is refused.
 func TestConnectionRefused(t *testing.T) {
-	e, c := newTestEndpoint(t), newTestTransport()
+	e, tr := newTestEndpoint(t), newTestTransport()
 	e.listener.Close()
-	if r := c.do(t.Context(), newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.ConnRefused {
+	if r := tr.do(t.Context(), newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.ConnRefused {
 		t.Errorf("got %+v, want ConnRefused", r)
 	}
 }
@@ -130,10 +130,10 @@
 // An idle connection that the endpoint has closed, or that is about to reach its idle timeout, is not reused: the next
 // call on it could be reset, which makes an unsafe message fail.
 func TestStaleIdleConnectionIsNotReused(t *testing.T) {
-	e, c := newTestEndpoint(t), newTransport(time.Second, time.Hour, 4, 16)
+	e, tr := newTestEndpoint(t), newTransport(time.Second, time.Hour, 4, 16)
 	call := func(end func(*receivedCall)) {
 		t.Helper()
-		got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+		got := doInBackground(t.Context(), tr, newTestCall(t, e.addr(), "hello", testTimeout))
 		end(await(t, e.calls, "call"))
 		if r := await(t, got, "result"); r.outcome != logic.Completed {
 			t.Fatalf("got %+v, want Completed", r)
@@ -141,9 +141,9 @@
 	}
 	call(func(in *receivedCall) { in.replyAndClose(200) })
 	for stop := time.Now().Add(testTimeout); ; { // until the close of the connection is visible
-		c.mu.Lock()
-		gone := len(c.idle[1]) == 0 || !c.reusable(c.idle[1][0])
-		c.mu.Unlock()
+		tr.mu.Lock()
+		gone := len(tr.idle[1]) == 0 || !tr.reusable(tr.idle[1][0])
+		tr.mu.Unlock()
 		if gone {
 			break
 		}
@@ -155,18 +155,18 @@
 	if n := len(e.conns); n != 2 {
 		t.Fatalf("%d connections, want a second after the first was closed", n)
 	}
-	c.mu.Lock()
-	c.idle[1][0].idleSince = time.Now().Add(200*time.Millisecond - time.Hour)
-	c.mu.Unlock()
+	tr.mu.Lock()
+	tr.idle[1][0].idleSince = time.Now().Add(200*time.Millisecond - time.Hour)
+	tr.mu.Unlock()
 	call(func(in *receivedCall) { in.reply(200) })
 	if n := len(e.conns); n != 3 {
 		t.Fatalf("%d connections, want a third after the second has expired", n)
 	}
-	c.mu.Lock()
-	c.idle[1][0].idleSince = time.Now().Add(-2 * time.Hour)
-	c.mu.Unlock()
-	c.closeStale()
-	if c.idleTotal != 0 || len(c.idle) != 0 {
+	tr.mu.Lock()
+	tr.idle[1][0].idleSince = time.Now().Add(-2 * time.Hour)
+	tr.mu.Unlock()
+	tr.closeStale()
+	if tr.idleTotal != 0 || len(tr.idle) != 0 {
 		t.Errorf("expired connection is kept after a sweep")
 	}
 }
@@ -174,10 +174,10 @@
 // An abandoned call must have ended for the endpoint before its outcome is reported: the next attempt would run at the
 // same time otherwise.
 func TestAbandonedCallEndsForEndpointBeforeOutcome(t *testing.T) {
-	e, c := newTestEndpoint(t), newTestTransport()
-	c.linger = 2 * testTimeout // long enough that only the endpoint can end the call
+	e, tr := newTestEndpoint(t), newTestTransport()
+	tr.linger = 2 * testTimeout // long enough that only the endpoint can end the call
 	ctx, cancel := context.WithCancel(t.Context())
-	got := doInBackground(ctx, c, newTestCall(t, e.addr(), "hello", testTimeout))
+	got := doInBackground(ctx, tr, newTestCall(t, e.addr(), "hello", testTimeout))
 	in := await(t, e.calls, "call")
 	cancel()
 	in.awaitClose(t)
@@ -185,7 +185,7 @@
 	if r := await(t, got, "result"); r.outcome != logic.Cancelled {
 		t.Errorf("cancelled: got %+v, want Cancelled", r)
 	}
-	got = doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", 30*time.Millisecond))
+	got = doInBackground(t.Context(), tr, newTestCall(t, e.addr(), "hello", 30*time.Millisecond))
 	in = await(t, e.calls, "call")
 	in.awaitClose(t)
 	in.reset()
@@ -193,7 +193,7 @@
 		t.Errorf("timed out: got %+v, want TimedOut", r)
 	}
 	ctx, cancel = context.WithCancel(t.Context())
-	got = doInBackground(ctx, c, newTestCall(t, e.addr(), "hello", testTimeout))
+	got = doInBackground(ctx, tr, newTestCall(t, e.addr(), "hello", testTimeout))
 	in = await(t, e.calls, "call")
 	cancel()
 	in.awaitClose(t)
@@ -201,24 +201,24 @@
 	if r := await(t, got, "result"); r.outcome != logic.Completed {
 		t.Errorf("answered while being cancelled: got %+v, want Completed", r)
 	}
-	c.linger = time.Millisecond // the endpoint does not react in this time
-	got = doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", 30*time.Millisecond))
+	tr.linger = time.Millisecond // the endpoint does not react in this time
+	got = doInBackground(t.Context(), tr, newTestCall(t, e.addr(), "hello", 30*time.Millisecond))
 	in = await(t, e.calls, "call")
 	if r := await(t, got, "result"); r.outcome != logic.TimedOut {
 		t.Errorf("unresponsive: got %+v, want TimedOut", r)
 	}
 	in.awaitClose(t)
-	if c.idleTotal != 0 {
-		t.Errorf("%d connections kept after abandoned calls", c.idleTotal)
+	if tr.idleTotal != 0 {
+		t.Errorf("%d connections kept after abandoned calls", tr.idleTotal)
 	}
 }
 
 // A call that is cancelled while it connects has not run.
 func TestCallCancelledWhileConnectingIsNotSent(t *testing.T) {
-	e, c := newTestEndpoint(t), newTestTransport()
+	e, tr := newTestEndpoint(t), newTestTransport()
 	ctx, cancel := context.WithCancel(t.Context())
-	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error { cancel(); return nil }
-	if r := c.do(ctx, newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.ConnRefused {
+	tr.dialer.Control = func(_, _ string, _ syscall.RawConn) error { cancel(); return nil }
+	if r := tr.do(ctx, newTestCall(t, e.addr(), "hello", testTimeout)); r.outcome != logic.ConnRefused {
 		t.Errorf("got %+v, want ConnRefused", r)
 	}
 	e.expectNoCall(t)
@@ -226,13 +226,13 @@
 
 // A call that is withheld while it connects, because of a wait or a drain, must not be written.
 func TestCallWithheldWhileConnectingIsNotSent(t *testing.T) {
-	e, c := newTestEndpoint(t), newTestTransport()
-	in := newTestCall(t, e.addr(), "hello", testTimeout)
-	c.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
-		in.state.CompareAndSwap(callConnecting, callWithheld)
+	e, tr := newTestEndpoint(t), newTestTransport()
+	outgoing := newTestCall(t, e.addr(), "hello", testTimeout)
+	tr.dialer.Control = func(_, _ string, _ syscall.RawConn) error {
+		outgoing.state.CompareAndSwap(callConnecting, callWithheld)
 		return nil
 	}
-	if r := c.do(t.Context(), in); r.outcome != logic.NotSent {
+	if r := tr.do(t.Context(), outgoing); r.outcome != logic.NotSent {
 		t.Errorf("got %+v, want NotSent", r)
 	}
 	e.expectNoCall(t)
@@ -241,10 +241,10 @@
 // A repeat whose write deadline passes while it connects is not written: the destination may have forgotten its
 // idempotency key by then.
 func TestCallPastWriteDeadlineIsNotSent(t *testing.T) {
-	e, c := newTestEndpoint(t), newTestTransport()
-	in := newTestCall(t, e.addr(), "hello", testTimeout)
-	in.writeDeadline = time.Now().Add(-time.Millisecond)
-	if r := c.do(t.Context(), in); r.outcome != logic.NotSent {
+	e, tr := newTestEndpoint(t), newTestTransport()
+	outgoing := newTestCall(t, e.addr(), "hello", testTimeout)
+	outgoing.writeDeadline = time.Now().Add(-time.Millisecond)
+	if r := tr.do(t.Context(), outgoing); r.outcome != logic.NotSent {
 		t.Errorf("got %+v, want NotSent", r)
 	}
 	e.expectNoCall(t)
@@ -252,8 +252,8 @@
 
 // An interim response (1xx) is not the outcome.
 func TestInterimAnswerIsNotTheOutcome(t *testing.T) {
-	e, c := newTestEndpoint(t), newTestTransport()
-	got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+	e, tr := newTestEndpoint(t), newTestTransport()
+	got := doInBackground(t.Context(), tr, newTestCall(t, e.addr(), "hello", testTimeout))
 	in := await(t, e.calls, "call")
 	io.WriteString(in.conn, "HTTP/1.1 102 Processing\r\n\r\n")
 	in.reply(200)
@@ -265,7 +265,7 @@
 // A response with a complete 200 status line counts as delivered even if the rest is truncated. After any other
 // unreadable response the call may have run.
 func TestTruncatedOrInvalidAnswers(t *testing.T) {
-	e, c := newTestEndpoint(t), newTestTransport()
+	e, tr := newTestEndpoint(t), newTestTransport()
 	for text, want := range map[string]logic.Outcome{
 		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nEndp":            logic.Completed,
 		"HTTP/1.1 200 OK\r\nno colon\r\n\r\n":                     logic.Completed,
@@ -278,7 +278,7 @@
 		"200 OK\r\n\r\n":                     logic.ConnBroken,
 		"\x00\x01\x02":                       logic.ConnBroken,
 	} {
-		got := doInBackground(t.Context(), c, newTestCall(t, e.addr(), "hello", testTimeout))
+		got := doInBackground(t.Context(), tr, newTestCall(t, e.addr(), "hello", testTimeout))
 		in := await(t, e.calls, "call")
 		io.WriteString(in.conn, text)
 		in.conn.Close()
@@ -292,7 +292,7 @@
 // A call that is cancelled with a partial response head ends soon, not only after headerTimeout.
 func TestCancelWithPartialHeaderEndsSoon(t *testing.T) {
 	e := newTestEndpoint(t)
-	c := newTransport(time.Second, 10*time.Second, 4, 16)
+	tr := newTransport(time.Second, 10*time.Second, 4, 16)
 	req, err := http.NewRequest(http.MethodPost, "http://"+e.addr()+"/inbox", strings.NewReader("body"))
 	if err != nil {
 		t.Fatal(err)
@@ -300,7 +300,7 @@
 	ctx, cancel := context.WithCancelCause(t.Context())
 	ended := make(chan callResult, 1)
 	go func() {
-		ended <- c.do(ctx, &call{endpoint: 1, addr: e.addr(), timeout: testTimeout, startedAt: time.Now(), request: req, state: new(atomic.Int32)})
+		ended <- tr.do(ctx, &call{endpoint: 1, addr: e.addr(), timeout: testTimeout, startedAt: time.Now(), request: req, state: new(atomic.Int32)})
 	}()
 	io.WriteString(await(t, e.calls, "call").conn, "HTTP/1.1 500 Inter")
 	time.Sleep(50 * time.Millisecond)
