--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -12,7 +12,7 @@
 )
 
 // executeActions writes the records of a step in one append, then answers clients and carries the actions out. A
-// message gets its +OK, and a call is made, only once their records are written.
+// message gets its +OK, and a call is made, only once its record is written.
 func (n *Node) executeActions(work context.Context, actions []logic.Action) {
 	answers := n.immediateAnswers(actions)
 	for i, p := range n.newPuts {
@@ -73,7 +73,7 @@
 	}
 }
 
-// reportDeniedCall reports a call that the guard has denied to the decision logic, as not sent.
+// reportDeniedCall tells the decision logic after retryDelay that a call was not sent, since the guard has denied it.
 func (n *Node) reportDeniedCall(a logic.CallOut) {
 	h := n.held[a.ID]
 	ev := replyEvent{&call{id: a.ID, attempt: h.attempts, endpoint: a.Endpoint, state: new(atomic.Int32)}, callResult{outcome: logic.NotSent}, 0}
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -59,7 +59,7 @@
 	c := &call{id: a.ID, attempt: attempt, endpoint: a.Endpoint, addr: target.Address, destination: target.Destination,
 		timeout: toDuration(a.GiveUp), state: new(atomic.Int32), reusedConn: idleConn}
 	c.mayWrite = func(ctx context.Context) bool { return n.requestWritePermission(ctx, c) }
-	if e := n.journal.Entry(a.ID); e != nil && e.MayHaveRun { // a repeat: to be written within the window
+	if e := n.journal.Entry(a.ID); e != nil && e.MayHaveRun { // a repeat: if keyed, only within the window
 		if class := n.cfg.Deployment.Settings.Classes[n.cfg.ClassIndexes[h.message.Class]]; class.Effect == logic.Keyed {
 			c.writeDeadline = n.clock.Time(e.FirstMayHaveRunAt).Add(toDuration(class.Window))
 		}
@@ -113,6 +113,7 @@
 	})
 }
 
+// probe sends a health check to an endpoint and passes its outcome to the loop.
 func (n *Node) probe(work context.Context, ep logic.EndpointID) {
 	addr := n.target(ep).Address
 	go func() {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -39,8 +39,8 @@
 // diskBytes returns the disk limit of the platform; 0 if it sets none.
 func (l Limits) diskBytes() int64 { return int64(l.DiskMB * 1e6) }
 
-// listStoreBytes returns the size limit of the saved list on disk. The journal has two files during a rewrite, so this
-// much is left for it. Files may count as memory, so the limit is at most the size of two of the longest lists.
+// listStoreBytes returns the size limit of the saved list on disk. It leaves space for the two files that the journal
+// has during a rewrite. Files may count as memory, so the limit is at most the size of two of the longest lists.
 func (l Limits) listStoreBytes() int64 {
 	limit := 2 * l.maxListBytes()
 	if disk := l.diskBytes(); disk > 0 {
@@ -150,7 +150,7 @@
 		}
 	}
 	if cfg.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
-		// Senders without a seed must not act in lockstep; they differ in name and address.
+		// Senders without a seed must not act in lockstep; they differ in name, address and start time.
 		h := fnv.New64a()
 		fmt.Fprintln(h, raw.Name, raw.Listen, time.Now().UnixNano())
 		cfg.Seed = h.Sum64()
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -23,7 +23,7 @@
 const (
 	ruleDrain         rule = "drain"       // no call to an endpoint that is not up, or that an operator has taken out
 	ruleUnconfirmed   rule = "unconfirmed" // no call based on an endpoint list that may be stale
-	ruleWait          rule = "wait"        // no call to where an endpoint asked for a wait that is not over
+	ruleWait          rule = "wait"        // no call to a destination or endpoint during a requested wait
 	ruleDestination   rule = "destination" // a message goes only to endpoints of its destination
 	ruleSingleAttempt rule = "once"        // one attempt of a message at a time, and none once it has ended
 	ruleAttempts      rule = "attempts"    // no more attempts than the settings allow
@@ -36,7 +36,7 @@
 )
 
 const (
-	waitSlack        = 100 * time.Millisecond // calls that cross with the response that asked for a wait are allowed
+	waitSlack        = 100 * time.Millisecond // for calls that cross with the response that asked for a wait
 	maxViolationLogs = 20                     // "rule broken" log lines per process
 )
 
@@ -119,8 +119,8 @@
 	}
 }
 
-// waitActive reports whether a wait applies to target now. Within waitSlack of its begin and end it does not count. A
-// wait that is over is dropped.
+// waitActive reports whether a wait applies to target now. It does not count within waitSlack after its start and
+// before its end. A wait that is over is dropped.
 func (g *guard) waitActive(target waitTarget, now time.Time) bool {
 	w, ok := g.waits[target]
 	if ok && !now.Before(w.until) {
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -19,7 +19,7 @@
 //     file refer to one lock, which both processes hold from then on.
 //  4. The successor reads and checks all of it, opens the journal and answers with handoverAck. From then on it is the
 //     owner.
-//  5. The old owner closes what it has handed over, sends operators on to the new address, lets the clients that could
+//  5. The old owner closes what it has handed over, redirects operators to the new address, lets the clients that could
 //     not be handed over finish (their requests go to the successor), and ends.
 //
 // If the transfer fails before the acknowledgement, the owner resumes everything where it stopped and refuses handovers
@@ -59,7 +59,7 @@
 	handoverReservedDescriptors = 16              // per process: lock, journal, discovery, notices and the like
 	maxDescriptorsPerMessage    = 200             // descriptors in one message; the kernel allows 253
 	maxStateTextBytes           = 64 << 20
-	minTextBytesPerName         = 600 // lower bound for the size of a name in a text, to estimate the size of the text
+	minTextBytesPerName         = 600 // bytes of text for each name, at least: shows in advance that a text would be too large
 	maxRowBytes                 = 1 << 20
 	handoverStallTimeout        = 2 * time.Second // a successor that reads nothing for this long has failed
 	handoverFailureDelay        = time.Second     // after a failed transfer, before the next: each one stalls the owner
@@ -177,7 +177,7 @@
 		return false // another attempt would stall the sender and probably fail too
 	}
 	if names := n.nameCount(); !next.takesRows && names > maxStateTextBytes/minTextBytesPerName {
-		n.log.Warn("state is too large for a successor that takes it as one text; it has to wait until this process ends", "names", names)
+		n.log.Warn("too much for a handover to a process that takes all in one text: it waits for our end", "names", names)
 		return false
 	}
 	start := time.Now()
@@ -335,16 +335,16 @@
 		return fmt.Errorf("state text of %d bytes exceeds the limit", len(text))
 	}
 	fds := []int{int(n.lockFile.Fd())}
-	all := []syscall.Conn{n.listener.(*net.TCPListener)}
+	sockets := []syscall.Conn{n.listener.(*net.TCPListener)}
 	for _, list := range [][]*endpointConn{conns.calls, conns.idle} {
 		for _, x := range list {
-			all = append(all, x.Conn.(syscall.Conn))
+			sockets = append(sockets, x.Conn.(syscall.Conn))
 		}
 	}
 	for _, x := range conns.clients {
-		all = append(all, x.(syscall.Conn))
+		sockets = append(sockets, x.(syscall.Conn))
 	}
-	for _, x := range all {
+	for _, x := range sockets {
 		raw, err := x.SyscallConn()
 		if err != nil {
 			return err
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -53,8 +53,8 @@
 	Attempts          int     `json:"tries,omitempty"`
 	Connecting        bool    `json:"begun,omitempty"`     // the last attempt has no outcome and was not written
 	MaybeWritten      bool    `json:"open,omitempty"`      // the last attempt has no outcome, and may have been written
-	MayHaveRun        bool    `json:"may_run,omitempty"`   // an earlier one may have run
-	FirstMayHaveRunAt int64   `json:"first_may,omitempty"` // send time of the first that may have run, Unix µs
+	MayHaveRun        bool    `json:"may_run,omitempty"`   // an earlier attempt may have run
+	FirstMayHaveRunAt int64   `json:"first_may,omitempty"` // send time of the first attempt that may have run, in Unix µs
 	FirstZone         int     `json:"zone,omitempty"`      // zone of the endpoint of that attempt
 	EndNotice         *Notice `json:"end,omitempty"`
 	sequence          int
@@ -227,8 +227,8 @@
 }
 
 // HasRoom reports whether the journal has room for a message with a body of that many bytes.
-func (j *Journal) HasRoom(body int) bool {
-	return float64(j.liveBytes)+float64(body)*4/3+512 <= acceptShare*float64(j.limit)
+func (j *Journal) HasRoom(bodyBytes int) bool {
+	return float64(j.liveBytes)+float64(bodyBytes)*4/3+512 <= acceptShare*float64(j.limit)
 }
 
 // Append writes records with a single write, so that a process that dies leaves no record in the file without all those
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -13,15 +13,15 @@
 const (
 	shutdownAcceptTime  = 500 * time.Millisecond  // after SIGTERM, clients are still accepted for this long
 	shutdownSendTimeout = 3200 * time.Millisecond // attempts made after SIGTERM must end within this time of it
-	shutdownLoopTimeout = 3400 * time.Millisecond // after SIGTERM, the loop ends at the latest
-	// shutdownClientTimeout is when the process ends at the latest after SIGTERM, even with clients that still wait for
-	// an answer: SIGKILL may come 0.1 s later.
+	shutdownLoopTimeout = 3400 * time.Millisecond // the loop ends within this time after SIGTERM
+	// shutdownClientTimeout is the time after SIGTERM within which the process ends, even with clients that still wait
+	// for an answer: SIGKILL may follow 0.1 s later.
 	shutdownClientTimeout = 3600 * time.Millisecond
 	sweepInterval         = time.Second
 	sweepsPerCountLog     = 5                      // sweeps between two "calls" log lines
 	retryDelay            = 250 * time.Millisecond // after an attempt that was denied or could not be journaled
 	eventBufferSize       = 4096
-	maxMatchedRows        = 20000 // rows of a saved list that are read during a handover at most
+	maxMatchedRows        = 20000 // a saved list with more rows is not read during a handover
 )
 
 // replyEvent carries the one result of an attempt.
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -47,9 +47,10 @@
 	return list.Generation, true
 }
 
-// matchSavedList takes the endpoint states that an owner of an earlier version does not hand over from the saved list,
-// if that has the generation that was handed over. Otherwise the next whole list has them, and nothing is saved until
-// then. Lists of more than maxMatchedRows rows are not read, since clients wait meanwhile.
+// matchSavedList reads the states of endpoints from the saved list after a handover from an earlier version, which does
+// not hand them over. The saved list must have the origin and the generation that were handed over. Otherwise the
+// states follow with the next whole list, and nothing is saved until then. Lists of more than maxMatchedRows rows are
+// not read, since clients wait meanwhile.
 func (n *Node) matchSavedList(origin string, generation int64) {
 	saved, err := n.listStore.Peek()
 	if n.directory.AllStatesKnown() || err != nil || "http://"+saved.Origin != origin || saved.Generation != generation || saved.RowCount > maxMatchedRows {
@@ -94,15 +95,15 @@
 		ev.Done()
 	}
 	if update.UnusableRows > 0 || update.DuplicateRows > 0 {
-		n.log.Warn("list", "generation", update.Generation, "unusable entries", update.UnusableRows, "duplicates", update.DuplicateRows)
+		n.log.Warn("list", "generation", update.Generation, "entries that make no sense", update.UnusableRows, "duplicates", update.DuplicateRows)
 	}
 	if update.OmittedEndpoints > 0 && len(update.Rows) > 0 {
-		n.log.Warn("list has too many endpoints of one destination", "generation", update.Generation, "omitted", update.OmittedEndpoints)
+		n.log.Warn("list, too many endpoints of one destination", "generation", update.Generation, "left aside", update.OmittedEndpoints)
 	}
 	if len(rows) > 0 || update.Whole {
 		n.log.Info("list", "generation", update.Generation, "whole", update.Whole, "entries", len(rows), "listed", n.directory.Len())
 	}
-	// A whole list is passed on as its differences, like an update, which also tells the decision logic that the list
+	// A whole list is passed on as its differences, like an update. Either also tells the decision logic that the list
 	// is current.
 	n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListDelta, Entries: rows})
 	if len(rows) == 0 {
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -13,7 +13,8 @@
 	"crossdeal/logic"
 )
 
-// heldMessage is an accepted message that has not ended, or that has ended with an attempt still in flight.
+// heldMessage is a message that was passed to the decision logic and has not ended, or that has ended with an attempt
+// still in flight.
 type heldMessage struct {
 	message    *Message
 	attempts   int
@@ -23,13 +24,13 @@
 	parkedConn *endpointConn           // the attempt's connection, once it is parked for another process
 }
 
-// logicCall returns the message as the decision logic takes it.
+// logicCall returns the event that passes a message to the decision logic.
 func (n *Node) logicCall(m *Message, now int64) logic.NewMessage {
-	c := logic.NewMessage{ID: m.ID, Key: m.OrderKey, TimeLeft: logic.Micros(m.Deadline - now), Destination: m.Destination, Tenant: -1, Class: n.cfg.ClassIndexes[m.Class]}
+	event := logic.NewMessage{ID: m.ID, Key: m.OrderKey, TimeLeft: logic.Micros(m.Deadline - now), Destination: m.Destination, Tenant: -1, Class: n.cfg.ClassIndexes[m.Class]}
 	if t, ok := n.cfg.TenantIndexes[m.Tenant]; ok && m.Tenant != "" {
-		c.Tenant = t
+		event.Tenant = t
 	}
-	return c
+	return event
 }
 
 func (n *Node) handlePut(ev putEvent) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -26,7 +26,8 @@
 	answer chan<- bool
 }
 
-// listWatcher watches the endpoint list and sends a discovery.Event for each update and failure.
+// listWatcher watches the endpoint list. It reports updates, failures and the progress of its requests, each with a
+// discovery.Event.
 type listWatcher interface {
 	SetInitialState(generation int64, restart bool)
 	Watch(ctx context.Context)
@@ -57,14 +58,14 @@
 	noHandoverBefore time.Time         // a state transfer has failed; the next one not before this time
 	discoveryMoves   chan struct{}     // holds a token when the address of discovery has changed
 	writeRequests    chan writeRequest // calls that have connected and ask to be written
-	maxDescriptors   int               // descriptors that this process and its successor may hold together
+	maxDescriptors   int               // file descriptors that this process and its successor may hold together
 	lockFile         *os.File
 	restarted        bool // the state folder has been in use before: this is a restart
 	listener         net.Listener
 	ready            chan net.Addr // gets the address once clients are served
 
 	// Used by the loop only.
-	startedAt      time.Time
+	startedAt      time.Time // when the clock of the decision logic was at 0; a handover keeps it
 	held           map[string]*heldMessage
 	openMessages   int                  // those of held that have not ended
 	recentIDs      map[string]time.Time // ids of accepted messages that have ended, each until its deadline
@@ -76,8 +77,8 @@
 	pendingRecords []record
 }
 
-// New makes a sender and replays its journal. If another process owns the state, it does not, and Run takes over from
-// that process.
+// New makes a sender and replays its journal. If another process owns the state, New leaves the journal alone, and Run
+// takes over from that process.
 func New(cfg *Config, log *slog.Logger) (*Node, error) {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
@@ -108,7 +109,7 @@
 // setMembershipMode sets the list settings of the decision logic that depend on how the list arrives.
 func setMembershipMode(settings *logic.Settings) {
 	settings.ListPushed = !settings.ListOnRequest
-	if settings.ListOnRequest && settings.Senders >= discovery.SpreadMinSenders { // with spread list requests
+	if settings.ListOnRequest && settings.Senders >= discovery.SpreadMinSenders { // list requests are spread out then
 		settings.MaxListAge = toMicros(discovery.MaxListAge) + settings.DrainGrace
 	}
 }
@@ -210,6 +211,7 @@
 
 // Run serves until ctx is cancelled and then shuts down gracefully, or until a successor has taken over.
 func (n *Node) Run(ctx context.Context) error {
+	// work ends when Run returns. ctx may be done earlier, and then starts the shutdown, during which work continues.
 	work, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer n.close()
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -17,8 +17,8 @@
 
 const (
 	maxNoticesPerRequest = 256                    // upper bound per request
-	noticeMinTimeout     = 150 * time.Millisecond // for a response, which is normally immediate, so a dead connection shows early ...
-	noticeMaxTimeout     = time.Second            // ... and doubled up to this after failures
+	noticeMinTimeout     = 150 * time.Millisecond // a response is normally immediate: a dead connection shows early ...
+	noticeMaxTimeout     = time.Second            // ... and doubled after each failure, up to this, for a slow platform
 	noticeMinRetryDelay  = 50 * time.Millisecond  // delay after the first failed request
 	noticeMaxRetryDelay  = 400 * time.Millisecond // longest delay: a notice is due soon after the message's deadline
 )
--- a/internal/node/replay.go
+++ b/internal/node/replay.go
@@ -8,7 +8,7 @@
 
 // resumeFromJournal passes the messages of the journal to the decision logic with the outcomes of their attempts so
 // far, and loads the initial endpoint list. At a restart, even with an empty journal, the configured list lacks the
-// changes since it was written, so the list counts as stale. Where an agent has the list this holds at every start.
+// changes since it was written, so the list counts as stale. Where an agent pushes the list, it does at every start.
 func (n *Node) resumeFromJournal() {
 	generation, listed := n.loadInitialList()
 	if listed {
@@ -36,15 +36,15 @@
 		}
 		n.held[e.ID] = &heldMessage{message: &e.Message, attempts: e.Attempts}
 		n.openMessages++
-		c := n.logicCall(&e.Message, now)
-		c.Prior = logic.PriorAttempts{Recovered: true, Tries: e.Attempts, MayHaveRun: e.MayHaveRun || e.MaybeWritten}
-		if c.Prior.MayHaveRun {
-			c.Prior.SinceFirstSend, c.Prior.Zone = logic.Micros(max(now-e.FirstMayHaveRunAt, 0)), e.FirstZone
+		event := n.logicCall(&e.Message, now)
+		event.Prior = logic.PriorAttempts{Recovered: true, Tries: e.Attempts, MayHaveRun: e.MayHaveRun || e.MaybeWritten}
+		if event.Prior.MayHaveRun {
+			event.Prior.SinceFirstSend, event.Prior.Zone = logic.Micros(max(now-e.FirstMayHaveRunAt, 0)), e.FirstZone
 		}
-		if e.MaybeWritten || e.Connecting { // ends this attempt: a replay must not take its outcome for a later one's
+		if e.MaybeWritten || e.Connecting { // or a replay would apply a later attempt's outcome to this one
 			n.pendingRecords = append(n.pendingRecords, record{Op: opOutcome, ID: e.ID, MayHaveRun: e.MaybeWritten})
 		}
-		n.nextEvents = append(n.nextEvents, c)
+		n.nextEvents = append(n.nextEvents, event)
 	}
 	if queuedNotices := n.notices.pending(); len(n.held)+queuedNotices < len(n.journal.Entries()) {
 		n.guard.recordViolation(ruleStart, "entries", len(n.journal.Entries()), "held", len(n.held), "ends", queuedNotices)
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -113,7 +113,7 @@
 		return nil, err
 	}
 	var head [8]byte
-	if _, err := io.ReadFull(conn, head[:]); err != nil { // the owner's death ends the wait
+	if _, err := io.ReadFull(conn, head[:]); err != nil { // the wait also ends with an error if the owner ends
 		return nil, fmt.Errorf("%w: %w", errHandoverFormat, err)
 	}
 	started = true
@@ -169,7 +169,7 @@
 	return t, nil
 }
 
-// receiveDescriptors receives one message with descriptors.
+// receiveDescriptors receives one message of the handover socket and returns the descriptors that it carries.
 func receiveDescriptors(conn *net.UnixConn) ([]*os.File, error) {
 	oob := make([]byte, syscall.CmsgSpace(4*maxDescriptorsPerMessage))
 	var b [1]byte
@@ -210,12 +210,12 @@
 		n.directory.Adopt(name, id, discovery.Target{Address: target.Addr, ZoneIndex: target.Zone, Destination: target.Dest, KindIndex: target.Kind,
 			Lifecycle: target.Lifecycle, Weight: target.Weight})
 	}
-	known := int64(-1)
+	knownGeneration := int64(-1)
 	if t.Discovery == n.watcher.BaseURL() && t.Generation != 0 {
-		known, n.listGeneration = t.Generation, t.Generation
+		knownGeneration, n.listGeneration = t.Generation, t.Generation
 	}
 	n.matchSavedList(t.Discovery, t.Generation)
-	n.watcher.SetInitialState(known, true) // not a first start: the watch begins without the random delay of one
+	n.watcher.SetInitialState(knownGeneration, true) // without the random delay before the watch of a first start
 	for id, until := range t.Recent {
 		n.recentIDs[id] = n.clock.Time(until)
 	}
@@ -258,11 +258,11 @@
 	}
 	for _, x := range t.Idle {
 		if conn := conns[0]; conn != nil {
-			kept := newEndpointConn(conn, n.target(x.Endpoint).Address)
-			if !n.transport.putIdle(x.Endpoint, kept) {
+			idleConn := newEndpointConn(conn, n.target(x.Endpoint).Address)
+			if !n.transport.putIdle(x.Endpoint, idleConn) {
 				conn.Close()
 			}
-			kept.idleSince = n.clock.Time(x.Since)
+			idleConn.idleSince = n.clock.Time(x.Since)
 		}
 		conns = conns[1:]
 	}
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -22,8 +22,8 @@
 type stateTransfer struct {
 	At         int64        // Unix time in microseconds when it was made ...
 	Clock      logic.Micros // ... and the clock of the decision logic at that time
-	Module     logic.Saved
-	Discovery  string // base URL of the discovery that Generation belongs to
+	Module     logic.Saved  // state of the decision logic; without its tables in the row format
+	Discovery  string       // base URL of the discovery that Generation belongs to
 	Generation int64
 	IDs        map[string]logic.EndpointID         `json:",omitempty"` // in the text format
 	Targets    map[logic.EndpointID]transferTarget `json:",omitempty"`
@@ -47,9 +47,9 @@
 
 type transferHeld struct {
 	ID       string
-	Tries    int
+	Tries    int   // attempts made
 	Over     bool  // ended, with its attempt still in flight
-	Deadline int64 // needed for an ended message, which the journal may not have
+	Deadline int64 // Unix time in microseconds; needed for an ended message, which the journal may not have
 }
 
 type transferCall struct {
@@ -62,12 +62,12 @@
 
 type transferIdle struct {
 	Endpoint logic.EndpointID
-	Since    int64
+	Since    int64 // Unix time in microseconds since which the connection is idle
 }
 
 type transferClient struct {
-	Since  int64
-	Proven bool
+	Since  int64 // Unix time in microseconds of the connection's start or of the last answer on it
+	Proven bool  // it has had a complete request
 }
 
 // nameRow is the row of an endpoint: its name, id and target.
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	maxResponseBytes = 64 << 10               // head and body of a response
+	maxResponseBytes = 64 << 10               // head and body of a response together
 	headerTimeout    = time.Second            // for the rest of a response's head, once its first byte is there
 	bodyTimeout      = 20 * time.Millisecond  // for reading its body; a connection that is slower is not reused
 	cancelLingerTime = 50 * time.Millisecond  // for the endpoint to notice that a call is abandoned
@@ -89,8 +89,8 @@
 // Close closes the connection and releases its descriptor. Only the first call releases it.
 func (conn *endpointConn) Close() error {
 	err := conn.Conn.Close()
-	if fds := conn.countedBy.Swap(nil); fds != nil {
-		fds.releaseCallDescriptor()
+	if counter := conn.countedBy.Swap(nil); counter != nil {
+		counter.releaseCallDescriptor()
 	}
 	return err
 }
@@ -211,7 +211,7 @@
 	if isTimeout(err) && errors.Is(context.Cause(ctx), errParked) && time.Now().Before(deadline) {
 		return callResult{parkedConn: conn}
 	}
-	failure := logic.ConnBroken
+	failure := logic.ConnBroken // the outcome if no response follows; stays ConnBroken unless the call is abandoned
 	if isTimeout(err) {
 		// The call is abandoned. Closing the write side tells the endpoint, and the linger time lets it notice: the
 		// next attempt must not overlap with this one. A response that is already on its way still counts.
@@ -234,7 +234,7 @@
 		if t.awaitHeader(ctx, conn) {
 			return callResult{parkedConn: conn}
 		}
-		if ctx.Err() != nil { // cancelled with a partial head: the rest gets the linger time, like any response
+		if ctx.Err() != nil { // cancelled with a partial head: the rest has the linger time to arrive
 			failure = logic.Cancelled
 			conn.SetDeadline(time.Now().Add(t.linger))
 		}
@@ -388,7 +388,8 @@
 	return true
 }
 
-// countConn counts the descriptor of a connection that another process has handed over.
+// countConn counts the descriptor of a connection that another process has handed over. Those of other connections are
+// counted already.
 func (t *transport) countConn(conn *endpointConn) {
 	if t.clients != nil && conn.countedBy.CompareAndSwap(nil, t.clients) {
 		t.clients.addCallDescriptor()
@@ -454,7 +455,8 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// takeIdle returns the most recently used idle connection to ep that is still usable, or nil.
+// takeIdle removes the most recently used idle connection to ep and addr that is still usable from the pool and returns
+// it; nil if there is none. It closes the unusable ones that it meets.
 func (t *transport) takeIdle(ep logic.EndpointID, addr string) *endpointConn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
