--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -131,7 +131,7 @@
 // serve answers operators until ctx is over, and returns when all connections are closed.
 func (s *adminServer) serve(ctx context.Context, ln net.Listener) {
 	defer s.wg.Wait()
-	defer context.AfterFunc(ctx, func() { ln.Close(); s.wakeSilent() })()
+	defer context.AfterFunc(ctx, func() { ln.Close(); s.wakeIdle() })()
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -158,16 +158,16 @@
 func (s *adminServer) addConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) >= s.maxConns && !s.evictSilent() {
+	if len(s.conns) >= s.maxConns && !s.evictIdle() {
 		return false // all connections wait for their answers, which come soon
 	}
 	s.conns[conn] = &operatorConn{connectedAt: time.Now()}
 	return true
 }
 
-// evictSilent evicts the oldest connection that has sent no call; false if there is none. Its handler wakes and
+// evictIdle evicts the oldest connection that has sent no call; false if there is none. Its handler wakes and
 // closes the connection. The caller holds s.mu.
-func (s *adminServer) evictSilent() bool {
+func (s *adminServer) evictIdle() bool {
 	var oldest net.Conn
 	for conn, operator := range s.conns {
 		if !operator.received && (oldest == nil || operator.connectedAt.Before(s.conns[oldest].connectedAt)) {
@@ -202,8 +202,8 @@
 	delete(s.conns, conn)
 }
 
-// wakeSilent wakes the handlers of connections that have sent no call.
-func (s *adminServer) wakeSilent() {
+// wakeIdle wakes the handlers of connections that have sent no call.
+func (s *adminServer) wakeIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for conn, operator := range s.conns {
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -147,7 +147,7 @@
 	})
 	io.WriteString(operator.conn, "ready\n")
 	time.Sleep(50 * time.Millisecond) // the handler has read the line and waits for the lock
-	evicted := s.evictSilent()
+	evicted := s.evictIdle()
 	s.mu.Unlock()
 	if got := operator.readLine(); !evicted || !strings.HasPrefix(got, "fail ") {
 		t.Errorf("evicted %v, answered %q", evicted, got)
--- a/internal/node/client_close.go
+++ b/internal/node/client_close.go
@@ -145,10 +145,10 @@
 	}
 }
 
-// drainClients answers the messages that reach the loop's event channel after the loop has ended, until the
+// answerLateMessages answers the messages that reach the loop's event channel after the loop has ended, until the
 // last connection is closed or the deadline is over: a request that was read must be answered before the
 // process ends.
-func (n *Node) drainClients(deadline time.Time) {
+func (n *Node) answerLateMessages(deadline time.Time) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	allEnded := n.clients.allEnded()
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -128,7 +128,7 @@
 		return false
 	}
 	if to != cc.state && !slices.Contains(allowedTransitions[cc.state], to) {
-		cc.table.guard.recordViolation(ruleState, "peer", cc.RemoteAddr(), "from", cc.state, "to", to)
+		cc.table.guard.recordViolation(ruleConnState, "peer", cc.RemoteAddr(), "from", cc.state, "to", to)
 	}
 	cc.state = to
 	return true
--- a/internal/node/client_eviction_test.go
+++ b/internal/node/client_eviction_test.go
@@ -137,8 +137,8 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
-	if err := tr.acquireDescriptor(ctx); err != errNoDescriptor {
-		t.Errorf("one call too many: got %v, want errNoDescriptor", err)
+	if err := tr.acquireDescriptor(ctx); err != errLocalFailure {
+		t.Errorf("one call too many: got %v, want errLocalFailure", err)
 	}
 	if !tr.putIdle(1, conns[0]) {
 		t.Fatal("the connection was not put on the idle list")
--- a/internal/node/concurrent_events_test.go
+++ b/internal/node/concurrent_events_test.go
@@ -201,7 +201,7 @@
 		if x := await(t, p.notices, "notice"); x.ID != "a" {
 			t.Errorf("notice %+v", x)
 		}
-		stopWithNothingOwed(t, n)
+		stopWithEmptyJournal(t, n)
 		mu.Lock()
 		if completeCount > 1 || len(p.notices) != 0 {
 			t.Errorf("reset after %d bytes: received completely %d times, %d more notices", after, completeCount, len(p.notices))
@@ -254,7 +254,7 @@
 			t.Fatalf("%d connections are left", left)
 		}
 	}
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 }
 
 // An endpoint is removed and comes back with its name and address while a call is in flight there. The response counts
@@ -286,7 +286,7 @@
 		t.Errorf("call with message %s", last.id())
 	}
 	last.reply(200)
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 	if len(p.notices) != 0 {
 		t.Errorf("notice %+v", <-p.notices)
 	}
@@ -315,7 +315,7 @@
 		t.Errorf("notice %+v", got)
 	}
 	x.awaitExit()
-	if ids := owedIDs(t, dir); ids != nil || len(p.notices) != 0 {
+	if ids := journaledIDs(t, dir); ids != nil || len(p.notices) != 0 {
 		t.Errorf("messages left in the journal: %v; old address got %d notices", ids, len(p.notices))
 	}
 }
@@ -382,5 +382,5 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 }
--- a/internal/node/crash_test.go
+++ b/internal/node/crash_test.go
@@ -48,7 +48,7 @@
 		in := await(t, e[0].calls, "call")
 		written := copyJournal(t, n.cfg.StateDir)
 		in.reply(200)
-		stopWithNothingOwed(t, n)
+		stopWithEmptyJournal(t, n)
 
 		other := newTestEndpoint(t)
 		known := discovery.List{Generation: 1, Reset: true, Instances: instancesOf(other)}
@@ -59,7 +59,7 @@
 			t.Errorf("%s: call with message %s", class, in.id())
 		}
 		in.reply(200)
-		stopWithNothingOwed(t, next)
+		stopWithEmptyJournal(t, next)
 
 		next = startNode(t, p, written, known)
 		if class == "unsafe" {
@@ -69,7 +69,7 @@
 		} else {
 			await(t, other.calls, class+" message, sent again").reply(200)
 		}
-		stopWithNothingOwed(t, next)
+		stopWithEmptyJournal(t, next)
 		other.expectNoCall(t)
 		if len(p.notices) != 0 {
 			t.Errorf("%s: notice %+v", class, <-p.notices)
@@ -182,7 +182,7 @@
 // After SIGKILL and after SIGTERM the next start sends all untried messages of the journal, with 16 s or less to their
 // deadlines, although discovery does not respond. An endpoint had asked the last process for a wait, which is not kept
 // over a restart.
-func TestRestartSendsAllOwedMessages(t *testing.T) {
+func TestRestartSendsAllUntriedMessages(t *testing.T) {
 	for _, x := range []struct {
 		name string
 		term bool
@@ -253,7 +253,7 @@
 	if ends["untried"] != "returned" || ends["open"] != "failed" {
 		t.Errorf("ends %v", ends)
 	}
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 	e.expectNoCall(t)
 }
 
@@ -287,7 +287,7 @@
 		got[in.id()] = true
 		in.reply(200)
 	}
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 	if len(p.notices) != 0 {
 		t.Errorf("notice %+v", <-p.notices)
 	}
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -29,9 +29,9 @@
 	ruleAttempts      rule = "attempts"    // no more attempts than the settings allow
 	ruleRepeat        rule = "repeat"      // a message that may have run is repeated only as its class allows
 	ruleDeadline      rule = "deadline"    // no call after the message's deadline
-	ruleState         rule = "state"       // a client's connection makes only the permitted state changes
+	ruleConnState     rule = "state"       // a client's connection makes only the permitted state changes
 	ruleAnswer        rule = "answer"      // a request that was read is answered before its connection is closed
-	ruleEnd           rule = "end"         // a message ends once
+	ruleSingleEnd     rule = "end"         // a message ends once
 	ruleStart         rule = "start"       // each journal entry at a start becomes a held message or a queued notice
 )
 
@@ -155,7 +155,7 @@
 		return ruleWait
 	case n.repeatForbidden(h.message, now):
 		return ruleRepeat
-	case n.sender.ListUnconfirmed(toMicros(time.Since(n.startedAt))):
+	case n.sender.ListUnconfirmed(toMicros(time.Since(n.clockOrigin))):
 		return ruleUnconfirmed
 	case settings.MaxTries > 0 && h.attempts > settings.MaxTries:
 		return ruleAttempts
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -186,7 +186,7 @@
 	for len(n.nextEvents) > 0 {
 		events := n.nextEvents
 		n.nextEvents = nil
-		n.executeActions(work, n.sender.ApplyWithoutSending(toMicros(time.Since(n.startedAt)), events))
+		n.executeActions(work, n.sender.ApplyWithoutSending(toMicros(time.Since(n.clockOrigin)), events))
 	}
 	state, conns, unsent := n.packState(next.takesRows)
 	err := n.sendState(next, state, conns, stopped)
@@ -275,7 +275,7 @@
 // of them, less a reserve. Calls have priority, then clients, then idle connections. Clients beyond the bound are
 // returned and stay here; idle connections beyond it are closed.
 func (n *Node) packState(inRows bool) (*stateTransfer, *transferConns, []net.Conn) {
-	state := &stateTransfer{At: n.clock.NowMicros(), Clock: toMicros(time.Since(n.startedAt)), Discovery: n.watcher.BaseURL(),
+	state := &stateTransfer{At: n.clock.NowMicros(), Clock: toMicros(time.Since(n.clockOrigin)), Discovery: n.watcher.BaseURL(),
 		Generation: n.listGeneration, Recent: map[string]int64{}}
 	if inRows {
 		state.Module, state.Names = n.sender.SaveWithoutTables(), n.nameCount()
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -12,8 +12,8 @@
 	"crossdeal/internal/discovery"
 )
 
-// startUpgradeProcess starts a sender with one endpoint as a process of its own.
-func startUpgradeProcess(t *testing.T) (p *testPlatform, e *testEndpoint, dir string, known discovery.List, x *process) {
+// startOwnerProcess starts a sender with one endpoint as a process of its own.
+func startOwnerProcess(t *testing.T) (p *testPlatform, e *testEndpoint, dir string, known discovery.List, x *process) {
 	t.Helper()
 	p, e, dir = newTestPlatform(t), newTestEndpoint(t), t.TempDir()
 	known = discovery.List{Generation: 1, Reset: true, Instances: instancesOf(e)}
@@ -24,7 +24,7 @@
 // A new process takes everything over: the client's connection, the unsafe call in flight with its connection, the wait
 // of a destination, the endpoint that an operator disabled, and the messages. The old process ends by itself.
 func TestUpgradeHandsEverythingOver(t *testing.T) {
-	p, e, dir, known, old := startUpgradeProcess(t)
+	p, e, dir, known, old := startOwnerProcess(t)
 	other := newTestEndpoint(t)
 	list := append(instancesOf(e, other), discovery.Instance{ID: "s-w", HostPort: other.addr(), Zone: "a", Kind: "std", Destination: 2,
 		Lifecycle: "up", Weight: 100})
@@ -85,7 +85,7 @@
 
 // A second process must not listen, write the journal or send while it waits for the lock.
 func TestSecondProcessWaitsForTheLock(t *testing.T) {
-	p, e, dir, known, old := startUpgradeProcess(t)
+	p, e, dir, known, old := startOwnerProcess(t)
 	if err := os.Remove(filepath.Join(dir, handoverSocketName)); err != nil { // so that no handover is possible
 		t.Fatal(err)
 	}
@@ -172,7 +172,7 @@
 // If the owner dies after it has sent the state and before the acknowledgement, the next start resumes from the
 // journal.
 func TestUpgradeOwnerDies(t *testing.T) {
-	p, e, dir, known, old := startUpgradeProcess(t)
+	p, e, dir, known, old := startOwnerProcess(t)
 	c := dialClient(t, old.addr)
 	c.put("a", "unsafe", "+OK")
 	await(t, e.calls, "call")
@@ -193,7 +193,7 @@
 
 // A partially received response is handed over with its call: the handover must not wait for the rest.
 func TestUpgradeWithPartialAnswer(t *testing.T) {
-	p, e, dir, known, old := startUpgradeProcess(t)
+	p, e, dir, known, old := startOwnerProcess(t)
 	c := dialClient(t, old.addr)
 	c.put("a", "unsafe", "+OK")
 	in := await(t, e.calls, "call")
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -181,5 +181,5 @@
 func (n *Node) step(work context.Context) {
 	events := n.nextEvents
 	n.nextEvents = nil
-	n.executeActions(work, n.sender.Step(toMicros(time.Since(n.startedAt)), events))
+	n.executeActions(work, n.sender.Step(toMicros(time.Since(n.clockOrigin)), events))
 }
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -24,8 +24,8 @@
 	parkedConn *endpointConn           // the attempt's connection, once it is parked for another process
 }
 
-// logicCall returns the event that passes a message to the decision logic.
-func (n *Node) logicCall(m *Message, now int64) logic.NewMessage {
+// newMessageEvent returns the event that passes a message to the decision logic.
+func (n *Node) newMessageEvent(m *Message, now int64) logic.NewMessage {
 	event := logic.NewMessage{ID: m.ID, Key: m.OrderKey, TimeLeft: logic.Micros(m.Deadline - now), Destination: m.Destination, Tenant: -1, Class: n.cfg.ClassIndexes[m.Class]}
 	if t, ok := n.cfg.TenantIndexes[m.Tenant]; ok && m.Tenant != "" {
 		event.Tenant = t
@@ -55,7 +55,7 @@
 	n.held[id] = &heldMessage{message: &message}
 	n.openMessages++
 	n.newPuts = append(n.newPuts, ev)
-	n.nextEvents = append(n.nextEvents, n.logicCall(&message, n.clock.NowMicros()))
+	n.nextEvents = append(n.nextEvents, n.newMessageEvent(&message, n.clock.NowMicros()))
 }
 
 // putInThisStep reports whether the message was received since the last step.
@@ -147,7 +147,7 @@
 // recognised. A call of it that is still connecting is never written.
 func (n *Node) endMessage(id string, h *heldMessage) {
 	if h.ended {
-		n.guard.recordViolation(ruleEnd, "id", id)
+		n.guard.recordViolation(ruleSingleEnd, "id", id)
 		return
 	}
 	h.ended = true
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -65,7 +65,7 @@
 	ready            chan net.Addr // gets the address once clients are served
 
 	// Used by the loop only.
-	startedAt      time.Time // when the clock of the decision logic was at 0; a handover keeps it
+	clockOrigin    time.Time // when the clock of the decision logic was at 0; a handover keeps it
 	held           map[string]*heldMessage
 	openMessages   int                  // those of held that have not ended
 	recentIDs      map[string]time.Time // ids of accepted messages that have ended, each until its deadline
@@ -116,7 +116,7 @@
 
 // newNode makes a sender with its channels and tables, its client server and its admin server.
 func newNode(cfg *Config, log *slog.Logger) *Node {
-	n := &Node{cfg: cfg, log: log, startedAt: time.Now(),
+	n := &Node{cfg: cfg, log: log, clockOrigin: time.Now(),
 		directory:      discovery.NewDirectory(cfg.Deployment.Zones, cfg.Deployment.Settings.Kinds),
 		events:         make(chan any, eventBufferSize),
 		commands:       make(chan operatorCommand),
@@ -266,7 +266,7 @@
 		n.finishAfterHandover(ctx)
 		return nil
 	}
-	n.drainClients(exitBy)
+	n.answerLateMessages(exitBy)
 	n.log.Info("stopped", "owed", len(n.journal.entries), "violations", n.guard.violationTotal())
 	return err
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,8 +18,8 @@
 	"crossdeal/logic"
 )
 
-// owedIDs returns the ids of the messages that a stopped sender has left in its journal.
-func owedIDs(t *testing.T, dir string) (ids []string) {
+// journaledIDs returns the ids of the messages that a stopped sender has left in its journal.
+func journaledIDs(t *testing.T, dir string) (ids []string) {
 	t.Helper()
 	for _, e := range openJournal(t, dir, 3e6).Entries() {
 		ids = append(ids, e.ID)
@@ -27,14 +27,14 @@
 	return ids
 }
 
-// stopWithNothingOwed shuts a sender down and checks that its journal has no message left.
-func stopWithNothingOwed(t *testing.T, n *testNode) {
+// stopWithEmptyJournal shuts a sender down and checks that its journal has no message left.
+func stopWithEmptyJournal(t *testing.T, n *testNode) {
 	t.Helper()
 	n.stop()
 	if err := await(t, n.done, "end of the sender"); err != nil {
 		t.Fatal(err)
 	}
-	if ids := owedIDs(t, n.cfg.StateDir); ids != nil {
+	if ids := journaledIDs(t, n.cfg.StateDir); ids != nil {
 		t.Errorf("messages left in the journal: %v", ids)
 	}
 }
@@ -50,7 +50,7 @@
 		t.Errorf("message was sent with changes: header %v, body %q", in.request.Header, in.body)
 	}
 	in.reply(200)
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 }
 
 // A client may submit a message again when its connection was closed. The same id is one message, whether the sender
@@ -73,7 +73,7 @@
 	} else {
 		in.reply(200)
 	}
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 }
 
 // A message that the decision logic refuses in its first step is answered with -BUSY and a retry delay. It was not
@@ -83,7 +83,7 @@
 	c.putWithTime("late", "safe", 1, "-BUSY 2000")
 	c.put("b", "safe", "+OK")
 	await(t, e[0].calls, "call").reply(200)
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 	if len(p.notices) != 0 {
 		t.Errorf("notice for a message that was not accepted: %v", <-p.notices)
 	}
@@ -140,7 +140,7 @@
 		t.Fatalf("call with message %s, want a", in.id())
 	}
 	in.reply(200)
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 }
 
 // After a retry-after the sender sends no message to the destination until the wait is over.
@@ -162,7 +162,7 @@
 		}
 		in.reply(200)
 	}
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 }
 
 // A rejection proves that the message did not run, so even an unsafe message is sent again. It is returned once its
@@ -185,7 +185,7 @@
 			t.Errorf("notice %+v", x)
 		}
 	}
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 	e[0].expectNoCall(t)
 }
 
@@ -194,7 +194,7 @@
 	n, c, p, e := startNodeWithEndpoints(t, 1)
 	c.put("a", "unsafe", "+OK")
 	await(t, e[0].calls, "call").reply(410)
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 	e[0].expectNoCall(t)
 	if len(p.notices) != 0 {
 		t.Errorf("notice %+v", <-p.notices)
@@ -225,7 +225,7 @@
 				t.Errorf("call with %v", in.request.Header)
 			}
 			in.reply(200)
-			stopWithNothingOwed(t, n)
+			stopWithEmptyJournal(t, n)
 			e[0].expectNoCall(t)
 		})
 	}
@@ -240,7 +240,7 @@
 		t.Errorf("notice %+v", x)
 	}
 	in.awaitClose(t)
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 }
 
 // A safe message is cancelled at an endpoint that does not respond and is sent to another one. The first call must have
@@ -263,7 +263,7 @@
 		t.Errorf("first call is still open: %v", err)
 	}
 	second.reply(200)
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 }
 
 // awaitListRequestFrom waits until the sender has the list of a generation, which shows in its next request.
@@ -291,7 +291,7 @@
 	awaitListRequestFrom(t, p, 3)
 	c.put("m", "safe", "+OK")
 	await(t, moved.calls, "call").reply(200)
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 	e[1].expectNoCall(t)
 }
 
@@ -321,7 +321,7 @@
 		await(t, e[1].calls, "call").reply(200)
 	}
 	e[0].expectNoCall(t)
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 }
 
 // While discovery is down the sender uses the last list and repeats its request until it gets a response.
@@ -342,7 +342,7 @@
 	awaitListRequestFrom(t, p, 2)
 	c.put("b", "safe", "+OK")
 	await(t, moved.calls, "call").reply(200)
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 }
 
 // A truncated list is ignored: the sender keeps using the last complete list and repeats its request.
@@ -360,7 +360,7 @@
 	awaitListRequestFrom(t, p, 2)
 	c.put("b", "safe", "+OK")
 	await(t, moved.calls, "call").reply(200)
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 }
 
 // An invalid or missing value of the configuration, or a torn journal, is logged, and the sender serves all the same.
@@ -415,7 +415,7 @@
 		sender := startNodeWithConfig(t, cfg, t.TempDir())
 		dialClient(t, sender.addr).put("a", "safe", "+OK")
 		await(t, e.calls, "call").reply(200)
-		stopWithNothingOwed(t, sender)
+		stopWithEmptyJournal(t, sender)
 	}
 }
 
@@ -427,7 +427,7 @@
 	await(t, p.listRequests, "list request")
 	dialClient(t, n.addr).put("a", "safe", "+OK")
 	await(t, e.calls, "call").reply(200)
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 }
 
 // A notice is sent again until the platform has confirmed it.
@@ -442,7 +442,7 @@
 	if x := await(t, p.notices, "notice"); x.ID != "u" || x.State != "failed" {
 		t.Errorf("notice %+v", x)
 	}
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 }
 
 // A malformed request gets an error line, and other clients are not affected.
@@ -489,7 +489,7 @@
 		t.Errorf("body was sent with changes: %d bytes, want %d", len(in.body), len(body))
 	}
 	in.reply(200)
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 }
 
 // Clients that send nothing, or only a part of a request, are closed and do not keep other clients out.
@@ -515,7 +515,7 @@
 	if got := half.readLine(); got != "" && !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("client with a partial request got %q", got)
 	}
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 }
 
 // A request that arrives just before the sender closes its connections is answered, since its client expects an answer.
@@ -601,7 +601,7 @@
 		t.Errorf("probe %s %s", in.request.Method, in.request.URL)
 	}
 	in.reply(200)
-	stopWithNothingOwed(t, n)
+	stopWithEmptyJournal(t, n)
 }
 
 // A wait or a list update withholds the calls that are connecting to an affected endpoint, and no others.
--- a/internal/node/process_test.go
+++ b/internal/node/process_test.go
@@ -158,7 +158,7 @@
 	x.terminate()
 	x.awaitExit()
 	e.expectNoCall(t)
-	if ids := owedIDs(t, dir); ids != nil {
+	if ids := journaledIDs(t, dir); ids != nil {
 		t.Errorf("messages left in the journal: %v", ids)
 	}
 }
@@ -260,7 +260,7 @@
 			}
 			in.reply(200)
 			x.awaitExit()
-			if ids := owedIDs(t, dir); ids != nil {
+			if ids := journaledIDs(t, dir); ids != nil {
 				t.Errorf("messages left in the journal: %v", ids)
 			}
 			if len(p.notices) != 0 {
@@ -284,7 +284,7 @@
 	if d := time.Since(terminatedAt); d > shutdownLoopTimeout+2*time.Second {
 		t.Errorf("ended after %v", d)
 	}
-	if ids := owedIDs(t, dir); len(ids) != 1 {
+	if ids := journaledIDs(t, dir); len(ids) != 1 {
 		t.Errorf("messages in the journal: %v, want 1", ids)
 	}
 	x = startProcess(t, p, dir, known)
--- a/internal/node/replay.go
+++ b/internal/node/replay.go
@@ -36,7 +36,7 @@
 		}
 		n.held[e.ID] = &heldMessage{message: &e.Message, attempts: e.Attempts}
 		n.openMessages++
-		event := n.logicCall(&e.Message, now)
+		event := n.newMessageEvent(&e.Message, now)
 		event.Prior = logic.PriorAttempts{Recovered: true, Tries: e.Attempts, MayHaveRun: e.MayHaveRun || e.MaybeWritten}
 		if event.Prior.MayHaveRun {
 			event.Prior.SinceFirstSend, event.Prior.Zone = logic.Micros(max(now-e.FirstMayHaveRunAt, 0)), e.FirstZone
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -63,9 +63,9 @@
 // unansweredCountNames maps the outcomes of a call without a response to the names of their counters.
 var unansweredCountNames = map[logic.Outcome]string{logic.ConnBroken: "broken", logic.TimedOut: "timed_out", logic.Cancelled: "called_off"}
 
-// errNoDescriptor ends a call for which no file descriptor became free, or for which this host could not open a
+// errLocalFailure ends a call for which no file descriptor became free, or for which this host could not open a
 // connection. It says nothing about the endpoint.
-var errNoDescriptor = errors.New("this host cannot open a connection")
+var errLocalFailure = errors.New("this host cannot open a connection")
 
 // callResult is how a call ended.
 type callResult struct {
@@ -140,7 +140,7 @@
 func (t *transport) do(ctx context.Context, c *call) callResult {
 	deadline := c.startedAt.Add(c.timeout)
 	conn, err := t.connect(ctx, c, deadline)
-	if errors.Is(err, errNoDescriptor) { // which is no failure of the endpoint
+	if errors.Is(err, errLocalFailure) { // which is no failure of the endpoint
 		c.state.CompareAndSwap(callConnecting, callWithheld)
 	}
 	if err == nil && conn != c.reusedConn && c.mayWrite != nil && !c.mayWrite(ctx) {
@@ -319,7 +319,7 @@
 			t.clients.releaseCallDescriptor()
 		}
 		if isLocalError(err) {
-			err = fmt.Errorf("%w: %w", errNoDescriptor, err)
+			err = fmt.Errorf("%w: %w", errLocalFailure, err)
 		}
 		return nil, err
 	}
@@ -361,7 +361,7 @@
 		select {
 		case <-ctx.Done():
 			t.countEvent("no_descriptor")
-			return errNoDescriptor
+			return errLocalFailure
 		case <-time.After(shortRetryDelay):
 		}
 	}
