--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -33,12 +33,13 @@
 	listTimeout       = 2 * time.Second // until the whole list begins to arrive; discovery sends it at once if at all
 
 	// Calls of a fleet add up. A discovery that serves one call after the other rejects calls that have waited for 2 s,
-	// and rejected calls cost it time too. Many senders keep watching without pauses while discovery answers soon, and
-	// pause between watches once it is overloaded.
+	// and rejected calls cost it time too. The senders of a large fleet keep watching without pauses while discovery
+	// answers soon, and pause between watches once it is overloaded.
 
-	// SpreadMinSenders is the number of senders from which on their calls are spread.
+	// SpreadMinSenders is the number of senders from which on their calls are spread. Comments call so many senders a
+	// large fleet.
 	SpreadMinSenders = 8
-	// Hold time of a watch of so many senders: with the answer margin and a pause, a change is in force within 17 s.
+	// Hold time of a watch in a large fleet: with the answer margin and a pause, a change is in force within 17 s.
 	spreadWatchHoldTime = 13 * time.Second
 	busyAnswerTime      = 1300 * time.Millisecond // an answer with changes that took longer is followed by a pause
 	pausePerSender      = 145 * time.Millisecond  // mean of that pause, for each sender
@@ -138,7 +139,7 @@
 	unsavedOrigin string        // the address that it came from
 	noRoomRows    int           // number of rows of a list that did not fit on disk; 0 if there was none
 	saveFailed    bool          // the last update could not be saved
-	discoveryBusy bool          // discovery is too busy for many senders that call without pauses
+	discoveryBusy bool          // discovery is too busy for a large fleet that calls without pauses
 	hasList       bool          // there is a list at generation
 	applied       chan struct{} // closed once the receiver has applied the last update; nil before the first
 
@@ -181,10 +182,10 @@
 // for the whole list.
 //
 // Each call follows the last answer at once, so that no change is missed in between, unless discovery is overloaded:
-// then many senders pause first. Whether it is overloaded shows in the first call, which many senders make with a
-// minimal hold time; the duration of a watch shows only when something changed. A restarted sender makes the first call
-// at once, as changes that the answer would contain count as known. At a first start the list is new, and the calls of
-// a fleet are spread by a random pause.
+// then the senders of a large fleet pause first. Whether it is overloaded shows in the first call, which they make with
+// a minimal hold time; the duration of a watch shows only when something changed. A restarted sender makes the first
+// call at once, as changes that the answer would contain count as known. At a first start the list is new, and the
+// calls of a fleet are spread by a random pause.
 //
 // Where lists are pushed, the first call of each watch has a minimal hold time too: it shows at once which list the
 // agent has, or that it does not answer.
@@ -299,7 +300,7 @@
 	return slog.LevelWarn
 }
 
-// checkAnswer returns an error if a list can't be used: changes where there is no list yet, a whole list without
+// checkAnswer returns an error if a list cannot be used: changes where there is no list yet, a whole list without
 // instances, or a list that is older than the known one.
 func (c *Client) checkAnswer(list *answer) error {
 	switch {
@@ -467,7 +468,7 @@
 	return c.baseURL
 }
 
-// SetAddress changes the address of discovery. A call to the old one that is in progress is canceled.
+// SetAddress changes the address of discovery. A call to the old one that is in progress is cancelled.
 func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -29,9 +29,9 @@
 	maxAnnouncedPerDestination = 1024
 )
 
-// Directory is the replica of the list: it maps endpoint names to the numbers that the decision logic uses, and numbers
-// to targets. Only the goroutine of the event loop changes it; others may read it at any time. An endpoint takes about
-// 150 bytes, plus its name and address.
+// Directory is the replica of the list: it maps endpoint names (Instance.ID) to the numbers that the decision logic
+// uses (logic.EndpointID), and numbers to targets. Only the goroutine of the event loop changes it; others may read it
+// at any time. An endpoint takes about 150 bytes, plus its name and address.
 type Directory struct {
 	mu                   sync.RWMutex
 	zones                labelTable
@@ -368,7 +368,7 @@
 	return t, true
 }
 
-// Name returns the id of an endpoint in the list; empty if the number is not in use.
+// Name returns the name of an endpoint; empty if the number is not in use.
 func (d *Directory) Name(id logic.EndpointID) string {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -464,7 +464,7 @@
 }
 
 // Adopt takes over a number that another process has assigned, with its target, before the first update. A target
-// without an address can't be listed. Without a lifecycle, whether the endpoint is listed is not known until the list
+// without an address cannot be listed. Without a lifecycle, whether the endpoint is listed is not known until the list
 // arrives.
 func (d *Directory) Adopt(name string, id logic.EndpointID, t Target) {
 	d.mu.Lock()
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -11,7 +11,7 @@
 
 // Instance is one endpoint of the list.
 type Instance struct {
-	ID          string `json:"instanceId"`
+	ID          string `json:"instanceId"` // the endpoint's name
 	HostPort    string `json:"hostPort"`
 	Zone        string `json:"zone"`
 	Kind        string `json:"machineType"`
@@ -28,7 +28,7 @@
 	Whole         bool       // the answer was a whole list
 	Rows          []Instance // endpoints that are missing from a whole list come first, as removed
 	UnusableRows  int        // malformed rows of the answer; the endpoints they name stay unchanged
-	DuplicateRows int        // rows of the answer that repeat the id of an earlier row, which they replace
+	DuplicateRows int        // rows of the answer that repeat the name of an earlier row, which they replace
 	// Set by Apply: the number of listed endpoints that the decision logic does not get, as their destinations have too
 	// many.
 	OmittedEndpoints int
--- a/internal/discovery/store.go
+++ b/internal/discovery/store.go
@@ -4,7 +4,7 @@
 // are little endian. The file begins with a snapshot of a whole list: a header record, chunks of rows and an end
 // record. Updates follow, each with a higher generation than the one before. A snapshot that is not whole makes the
 // file unusable. The updates may have a torn end, as a process that dies during a write leaves it: a record that is
-// truncated, has a wrong checksum, can't be decoded or has no higher generation. It is cut off, with all that follows
+// truncated, has a wrong checksum, cannot be decoded or has no higher generation. It is cut off, with all that follows
 // it, and the list is the one at the last whole update.
 
 package discovery
@@ -532,7 +532,7 @@
 }
 
 // Replace saves a whole list in place of the saved one. The rows are streamed to a second file, and the old file is
-// kept until that is whole. The old file is removed first only if it would be wrong from now on: it can't be read, or
+// kept until that is whole. The old file is removed first only if it would be wrong from now on: it cannot be read, or
 // its origin has restarted its generations below the saved one. Otherwise the old list is only out of date.
 //
 // The rows must be those at the given generation, or at a later one of the same origin. An update after that generation
--- a/internal/discovery/timing.go
+++ b/internal/discovery/timing.go
@@ -20,7 +20,7 @@
 	answerTimeout   time.Duration // until an answer begins that need not wait for a change
 	acceptanceDelay time.Duration // a watch without an answer for longer than this was accepted and waits for a change
 	stallTimeout    time.Duration // between the bytes of an answer that has begun
-	initialBackoff  time.Duration // mean pause after an answer that can't be used, doubled after each further one
+	initialBackoff  time.Duration // mean pause after an unusable answer, doubled after each further one
 	maxBackoff      time.Duration // upper bound of that mean
 	// How long answers have to be older than the known list until discovery's generations count as restarted.
 	renumberingDelay  time.Duration
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -408,6 +408,7 @@
 	return 0
 }
 
+// outcomeNames are the names of the outcomes in the protocol. Some differ from those in logs.
 var outcomeNames = [...]string{logic.Completed: "completed", logic.Errored: "errored", logic.Rejected: "saturated",
 	logic.TimedOut: "overdue", logic.ConnRefused: "refused_conn", logic.ConnBroken: "severed",
 	logic.Cancelled: "recalled", logic.NotSent: "superseded"}
@@ -426,8 +427,8 @@
 	}
 }
 
-// ParseTime reads a number of seconds as whole microseconds. It converts a decimal number exactly, without digits beyond
-// microseconds, and rounds a number with an exponent.
+// ParseTime reads a number of seconds as whole microseconds. It converts a decimal number exactly, dropping digits
+// beyond microseconds, and rounds a number with an exponent.
 func ParseTime(text string) (logic.Micros, error) {
 	body, negative := strings.CutPrefix(text, "-")
 	whole, fraction, _ := strings.Cut(body, ".")
--- a/logic/ejection.go
+++ b/logic/ejection.go
@@ -112,8 +112,10 @@
 }
 
 // recordFailure records a failure at e: an error, a broken or refused connection, or no answer. Networks
-// break single calls everywhere, which says nothing about one endpoint. Only a run of failures that is
-// too long to be chance is an outage. The reason is logged if e is ejected.
+// break single calls everywhere, which says nothing about one endpoint. An outage is a run of failures
+// that is too long to be chance, a failure rate above outageFailureRate, or a call without an answer. A
+// shorter run is enough if e refuses connections and has not answered within freshAnswerAge. The reason
+// is logged if e is ejected.
 func (s *Sender) recordFailure(e *endpoint, reason string) {
 	if s.banned[e.id] { // operators may be restarting it, which is no outage
 		return
@@ -135,7 +137,7 @@
 	}
 }
 
-// failureRunProbability returns how probable the present run of failures at e is by chance; 1 if there is
+// failureRunProbability returns how probable the current run of failures at e is by chance; 1 if there is
 // none.
 func (s *Sender) failureRunProbability(e *endpoint) float64 {
 	return s.runProbability(int(e.consecutiveFailures))
@@ -146,10 +148,11 @@
 	return math.Pow(min(max(s.chanceFailureRate, minChanceFailureRate), maxChanceFailureRate), float64(run))
 }
 
-// outageSuspected says whether the last result of e is a failure, and no answer of an endpoint that
-// shares its limiter has shown soon afterwards that it was chance. It matters among many senders, each
-// of which sends too little for long runs. A later answer may mean that the destination has returned:
-// if each sender continued as before, all together would overload it again.
+// outageSuspected reports whether the last result of e is a failure, and no answer of an endpoint that
+// shares its limiter has shown soon afterwards that it was chance. The failures in a row at all these
+// endpoints also have to be improbable by chance. It matters among many senders, each of which sends too
+// little for long runs. A later answer may mean that the destination has returned: if each sender
+// continued as before, all together would overload it again.
 func (s *Sender) outageSuspected(e *endpoint) bool {
 	if !s.manySenders || e.ejected || e.consecutiveFailures == 0 {
 		return false
--- a/logic/endpoint_list.go
+++ b/logic/endpoint_list.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// banEndpoint takes an endpoint out. Only unbanEndpoint ends that, no list update and no answer of the
-// endpoint.
+// banEndpoint bans an endpoint. Only unbanEndpoint ends the ban: list updates and answers of the endpoint
+// do not.
 func (s *Sender) banEndpoint(id EndpointID) {
 	if s.banned[id] {
 		return
--- a/logic/gate.go
+++ b/logic/gate.go
@@ -16,7 +16,7 @@
 	never = Micros(math.MaxInt64)
 )
 
-// maySend says whether m may be sent to e now and, if not, when to check again.
+// maySend reports whether m may be sent to e now and, if not, when to check again.
 func (s *Sender) maySend(m *message, e *endpoint) (bool, Micros) {
 	switch {
 	case e.state != Ready || m.ended || m.attempt != nil: // one attempt at a time
@@ -75,7 +75,7 @@
 	return true, 0
 }
 
-// atLastChance says whether m is sent regardless of the pace: it was accepted before a restart, or would
+// atLastChance reports whether m is sent regardless of the pace: it was accepted before a restart, or would
 // expire in one, has not been sent yet and has little time left. The pace only shares out a limit, while
 // an accepted message is owed an attempt.
 func (s *Sender) atLastChance(m *message) bool {
@@ -94,9 +94,9 @@
 }
 
 // expectedDuration returns how long an attempt is expected to take, to decide whether it is started
-// before the sender stops. An attempt that the stop cuts off is resent after the restart if the message's
-// effect allows it; an unsafe one is lost, so it needs the longer time after which a call counts as
-// stuck.
+// before the sender stops. A message whose attempt is still in flight at the stop is retried after the
+// restart if its effect allows it; an unsafe one is lost, so it needs the longer time after which a call
+// counts as stuck.
 func (s *Sender) expectedDuration(m *message, e *endpoint) Micros {
 	if h := &e.destination.histogram; m.class.Effect != Unsafe && h.answeredWeight >= minSamples {
 		return h.p95
--- a/logic/list_lease.go
+++ b/logic/list_lease.go
@@ -173,7 +173,7 @@
 	return s.staleListWaitUntil(m)
 }
 
-// ListUnconfirmed says whether sends wait at now for an update of the list, because its endpoints may
+// ListUnconfirmed reports whether sends wait at now for an update of the list, because its endpoints may
 // be draining. It moves the Sender's time on to now.
 func (s *Sender) ListUnconfirmed(now Micros) bool {
 	s.now = max(s.now, now)
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -4,7 +4,7 @@
 // used, endpoint_list.go for its entries and bans), which message goes first (queue.go), where it goes
 // (routing.go), what must hold before it is sent (gate.go), outlier ejection (ejection.go), slow start
 // after an outage (slow_start.go), rate limits (rate_limit.go), the restart time τ at which slow calls
-// are cancelled and resent (restart_time.go), outcomes of attempts (outcome.go), ends of messages,
+// are cancelled and retried (restart_time.go), outcomes of attempts (outcome.go), ends of messages,
 // restarts and shutdown (ending.go), timers and idle state (timer.go). The interface (settings, events,
 // actions) is in logic/types.go, its checks in settings.go, the state in state.go, and the transfer of
 // the state to another process in handover.go and table_rows.go.
--- a/logic/outcome.go
+++ b/logic/outcome.go
@@ -1,10 +1,10 @@
 package logic
 
-// What the result of an attempt says about its message, its endpoint and its destination. A success
-// adds its latency to the histograms and raises the pace. A rejection lowers the pace or starts a
-// retry-after wait. Errors, broken or refused connections and missing answers count as failures
-// (ejection.go). The message is retried, after a delay where that helps, unless it has ended or may not
-// be sent again.
+// What the result of an attempt says about its message, its endpoint and its destination. A success adds
+// its latency to the histograms and raises the pace. A rejection lowers the pace, and starts a
+// retry-after wait if the endpoint asks for one. Errors, broken or refused connections and missing
+// answers count as failures (ejection.go). The message is retried, after a delay where that helps, unless
+// it has ended or may not be sent again.
 
 const (
 	// Weight of the newest call in an endpoint's smoothed latency.
--- a/logic/rate_limit.go
+++ b/logic/rate_limit.go
@@ -3,8 +3,9 @@
 // Rate limits. Each limiter has a pace, the calls a second that this sender allows itself. The first
 // rejection sets it to the rate of the last second, further ones halve it at most once a second, and
 // successes raise it until it has no effect and is dropped. Where the destination's rate limit is known,
-// the pace is also bounded by this sender's share of it. Rejections also decide here when a rejected
-// message is retried, when a destination counts as unavailable, and whether idle connections are kept.
+// the pace is also bounded by this sender's share of it, which is derived from its even share: the limit
+// divided by the number of senders. Rejections also decide here when a rejected message is retried, when
+// a destination counts as unavailable, and whether idle connections are kept.
 
 import (
 	"math"
@@ -129,7 +130,7 @@
 	}
 }
 
-// rejectedUnexamined says whether a call was rejected because the connections of many senders left no
+// rejectedUnexamined reports whether a call was rejected because the connections of many senders left no
 // room for it. Such a rejection carries neither a wait nor a load report, and says nothing about the
 // rate limit. It is recognized only where load reports carry the limit.
 func (s *Sender) rejectedUnexamined(r AttemptResult) bool {
@@ -148,7 +149,7 @@
 	}
 }
 
-// keepsIdleConn says whether an idle connection to e is kept, by a random choice. A sender that keeps its
+// keepsIdleConn reports whether an idle connection to e is kept, by a random choice. A sender that keeps its
 // connections sees no rejected ones, so that senders that all keep theirs notice too late that they use
 // up a kind's connections. The more new connections were accepted, the more are kept.
 func (s *Sender) keepsIdleConn(e *endpoint) bool {
--- a/logic/restart_time.go
+++ b/logic/restart_time.go
@@ -1,7 +1,7 @@
 package logic
 
 // The restart time τ (tau) of a destination. A running attempt that is older than τ, and as old as a
-// stuck call, is cancelled and resent, to another endpoint if possible. τ is the time that gives the
+// stuck call, is cancelled and retried, to another endpoint if possible. τ is the time that gives the
 // least expected time to an answer if every attempt is restarted at it, computed from a histogram of
 // latencies in which old samples lose weight. It is used only where it is clearly better than waiting.
 // Calls that get no answer for much longer than usual are stuck: they lead to ejection and are
@@ -172,7 +172,7 @@
 			}
 		}
 	}
-	// An unsafe call cannot be resent, so it may wait. But it may not hold the last slot while messages for
+	// An unsafe call cannot be retried, so it may wait. But it may not hold the last slot while messages for
 	// other destinations could be sent.
 	if oldestUnsafe != nil && s.slotsInUse >= s.settings.Slots && s.settings.Slots > 0 {
 		for _, m := range s.openMessages {
@@ -184,8 +184,8 @@
 	}
 }
 
-// mayCutOff says whether an attempt may be cut off at the restart time. The message must have attempts
-// and time left. The resend must not add to the load of a destination that rejects or recovers, unless
+// mayCutOff reports whether an attempt may be cut off at the restart time. The message must have attempts
+// and time left. The retry must not add to the load of a destination that rejects or recovers, unless
 // the call holds one of the last slots.
 func (s *Sender) mayCutOff(a *attempt) bool {
 	m, e := a.message, a.endpoint
--- a/logic/routing.go
+++ b/logic/routing.go
@@ -43,7 +43,7 @@
 			penalty++ // with many senders, connections rarely stay open until the rotation returns to them
 		}
 		if e == m.lastEndpoint {
-			penalty += 4 // a resend goes to another endpoint if possible
+			penalty += 4 // a retry goes to another endpoint if possible
 		}
 		if e.consecutiveRejections > 1 {
 			penalty += 2 // rejects while others may not: it may be draining, or a route at its limit
--- a/logic/slow_start.go
+++ b/logic/slow_start.go
@@ -2,7 +2,7 @@
 
 // Slow start. A destination that returns from an outage has a part of its capacity only (ColdFrom), which
 // grows to all of it over WarmAfter, and too many calls in FallWindow would overload it again. What this
-// sender may send is its share of that: FallMultiple times the present capacity times FallWindow, divided
+// sender may send is its share of that: FallMultiple times the current capacity times FallWindow, divided
 // by the number of senders. Where that share is less than one call, the window is made longer.
 
 import (
@@ -10,7 +10,7 @@
 )
 
 const (
-	// Part of the traffic of an outage that is resent at the same time.
+	// Share of the traffic of an outage that is retried at the same time.
 	resentTrafficShare = 1.0
 )
 
@@ -42,7 +42,7 @@
 		}
 	}
 	capacity := s.estimatedCapacity(e) * float64(max(endpointCount, 1))
-	// Calls in the window for each call a second of capacity, at the present stage of the recovery.
+	// Calls in the window for each call a second of capacity, at the current stage of the recovery.
 	callsPerRate := s.settings.FallMultiple *
 		(s.settings.ColdFrom + (1-s.settings.ColdFrom)*recovered) * seconds(window)
 	maxCalls := callsPerRate * capacity / float64(s.settings.Senders)
--- a/logic/state.go
+++ b/logic/state.go
@@ -116,14 +116,13 @@
 	notBefore         Micros    // not sent before then
 	keyQueue          *keyQueue // nil if its order does not matter
 	ended             bool
-	streaming         bool // an answer is streaming to the client: neither cancelled nor resent
+	streaming         bool // an answer is streaming to the client: neither cancelled nor retried
 	arrivalStep       int  // the Step that accepted it
 	// Was found after a restart, or would expire during one, and has not been sent yet.
 	untriedAtRestart bool
-	// When half of the time is over that it had on arrival. It waits no longer for the first list after
-	// a start.
+	// It waits for the first list after a start until then: half of the time that it had on arrival.
 	listWaitUntil Micros
-	lastChanceAt  Micros  // untriedAtRestart: from then on it is sent regardless of the pace
+	lastChanceAt  Micros  // untriedAtRestart: from then on, at the latest, it is sent regardless of the pace
 	priority      float64 // during dispatch: higher goes first
 }
 
@@ -131,7 +130,7 @@
 type keyQueue struct {
 	messages   []*message
 	quietUntil Micros   // the key rests until then, since an earlier attempt may still run
-	quietOwner *message // the message of that attempt, which may be resent during the rest
+	quietOwner *message // the message of that attempt, which may be retried during the rest
 }
 
 // countAfter returns how many of the times, which are in order, lie after t.
@@ -157,8 +156,8 @@
 	settings          Settings
 	rng               *rand.Rand
 	now               Micros
-	step              int      // number of the present Step
-	actions           []Action // of the present Step
+	step              int      // number of the current Step
+	actions           []Action // of the current Step
 	endpoints         map[EndpointID]*endpoint
 	banned            map[EndpointID]bool // by an operator
 	destinations      map[int64]*destination
@@ -181,7 +180,7 @@
 	watchOpen         bool                 // changes of the list arrive as they happen
 	listSaved         bool                 // the list was saved before the start, and it may lack changes
 	agentUnresponsive bool                 // ListPushed: the last request to the agent got no answer at all
-	// When the first answer arrived that could not be used, since the last one that could; 0 if none did.
+	// When the first unusable answer since the last usable one arrived; 0 if there is none.
 	unusableAnswerAt      Micros
 	stopAt                Micros // when this sender stops; 0 if no stop is announced
 	logLines              int
@@ -463,7 +462,7 @@
 	}
 }
 
-// joinsOpenCall says whether an attempt at e would travel in a call that the present Step has already
+// joinsOpenCall reports whether an attempt at e would travel in a call that the current Step has already
 // opened.
 func (s *Sender) joinsOpenCall(e *endpoint) bool {
 	return e.openCall != nil && e.openCall.step == s.step && e.openCall.attempts < s.kindOf(e.destination).Batch
@@ -589,7 +588,7 @@
 	}
 }
 
-// hasHealthySibling says whether another endpoint of e's destination is ready and not ejected or banned.
+// hasHealthySibling reports whether another endpoint of e's destination is ready and not ejected or banned.
 func (s *Sender) hasHealthySibling(e *endpoint) bool {
 	for _, sibling := range e.destination.endpoints {
 		if sibling != e && !sibling.ejected && sibling.state == Ready && !s.banned[sibling.id] {
--- a/logic/table_rows.go
+++ b/logic/table_rows.go
@@ -2,8 +2,8 @@
 
 // The tables of destinations and endpoints as rows, one for each of them, so that a large state can be
 // transferred in bounded memory. A row holds its fields in a fixed order and ends with the last one that
-// differs from its value in a new destination or endpoint. What follows the known fields is skipped, so
-// that a later version may add some.
+// differs from its default value, which is that in a new destination or endpoint. What follows the known
+// fields is skipped, so that a later version may add some.
 
 import (
 	"encoding/binary"
@@ -27,15 +27,15 @@
 	row        []byte // decoding: what has not been read yet
 	decoding   bool
 	invalid    bool   // decoding: the row cannot be read
-	keepLength int    // encoding: length up to the last field that differs from its usual value
+	keepLength int    // encoding: length up to the last field that differs from its default value
 	now        Micros // points in time are written relative to this
 }
 
-// field writes or reads one field. The usual value is that of a new destination or endpoint.
-func (c *rowCodec) field(value, usual uint64) uint64 {
+// field writes or reads one field. At the end of a row, fields with their default value are left out.
+func (c *rowCodec) field(value, defaultValue uint64) uint64 {
 	if !c.decoding {
 		c.row = binary.AppendUvarint(c.row, value)
-		if value != usual {
+		if value != defaultValue {
 			c.keepLength = len(c.row)
 		}
 		return value
@@ -58,14 +58,14 @@
 // zigzagDecode is the inverse of zigzagEncode.
 func zigzagDecode(x uint64) int64 { return int64(x>>1) ^ -int64(x&1) }
 
-// integerField writes or reads an integer; its usual value is 0.
+// integerField writes or reads an integer; its default value is 0.
 func integerField[T ~int | ~int32 | ~int64 | ~uint32 | ~uint16 | ~uint8](c *rowCodec, x *T) {
 	*x = T(zigzagDecode(c.field(zigzagEncode(int64(*x)), 0)))
 }
 
-// timestamp writes or reads a point in time; its usual value is distantPast or 0.
-func (c *rowCodec) timestamp(x *Micros, usual Micros) {
-	c.timestampField(x, c.encodeTime(usual))
+// timestamp writes or reads a point in time; its default value is distantPast or 0.
+func (c *rowCodec) timestamp(x *Micros, defaultValue Micros) {
+	c.timestampField(x, c.encodeTime(defaultValue))
 }
 
 // encodeTime returns the code of a point in time: 0 for distantPast, 1 for 0, and from 2 on for its
@@ -80,9 +80,9 @@
 	return 2 + zigzagEncode(int64(min(max(t-c.now, -1<<61), 1<<61)))
 }
 
-// timestampField is timestamp with the usual value as a code of encodeTime.
-func (c *rowCodec) timestampField(x *Micros, usual uint64) {
-	switch v := c.field(c.encodeTime(*x), usual); v {
+// timestampField is timestamp with the default value as a code of encodeTime.
+func (c *rowCodec) timestampField(x *Micros, defaultValue uint64) {
+	switch v := c.field(c.encodeTime(*x), defaultValue); v {
 	case 0:
 		*x = distantPast
 	case 1:
@@ -99,7 +99,7 @@
 	*x = math.Float64frombits(bits.ReverseBytes64(v))
 }
 
-// flags writes or reads booleans as one field, one bit each; usually all are false.
+// flags writes or reads booleans as one field, one bit each; by default all are false.
 func (c *rowCodec) flags(xs ...*bool) {
 	v := uint64(0)
 	for i, x := range xs {
@@ -131,7 +131,7 @@
 		*xs = make([]Micros, n)
 	}
 	for i := range *xs {
-		c.timestampField(&(*xs)[i], math.MaxUint64) // no value is usual, so that each is in the row
+		c.timestampField(&(*xs)[i], math.MaxUint64) // no value is the default, so that each is in the row
 	}
 }
 
--- a/logic/types.go
+++ b/logic/types.go
@@ -114,7 +114,7 @@
 	MaxListAge Micros
 
 	// After an outage a destination recovers: its capacity rises linearly from ColdFrom times its whole capacity
-	// to all of it, over WarmAfter. It is overloaded by more than FallMultiple times its present capacity during
+	// to all of it, over WarmAfter. It is overloaded by more than FallMultiple times its current capacity during
 	// FallWindow.
 	FallMultiple float64
 	FallWindow   Micros
@@ -209,8 +209,8 @@
 // Stopping says that the sender stops in TimeLeft. Calls that cannot finish by then are not started.
 type Stopping struct{ TimeLeft Micros }
 
-// Ban says that an operator has taken an endpoint out. Nothing is sent to it until the Unban, whatever
-// the list says. The endpoint need not be listed.
+// Ban says that an operator has banned an endpoint. Nothing is sent to it until the Unban, whatever the
+// list says. The endpoint need not be listed.
 type Ban struct{ Endpoint EndpointID }
 
 // Unban ends a Ban. The endpoint then counts as recovering, as it may have been restarted meanwhile.
@@ -220,7 +220,7 @@
 type DiscoveryMoved struct{}
 
 // StreamStarted says that the answer to an attempt has begun to stream to the client. The attempt can
-// neither be cancelled nor resent from then on.
+// neither be cancelled nor retried from then on.
 type StreamStarted struct {
 	ID      string
 	Attempt int
@@ -234,7 +234,7 @@
 	Completed   Outcome = iota // delivered
 	Errored                    // answered with an error
 	Rejected                   // rejected by the endpoint before it looked at the message
-	TimedOut                   // no answer in CallOut.GiveUp
+	TimedOut                   // no answer within CallOut.GiveUp
 	ConnRefused                // no connection could be made
 	ConnBroken                 // the connection broke
 	Cancelled                  // ended by a Cancel
@@ -299,7 +299,7 @@
 // Batch of its kind.
 type CallOut struct {
 	ID       string
-	GiveUp   Micros // without an answer by then, the attempt ends as TimedOut
+	GiveUp   Micros // without an answer within this time, the attempt ends as TimedOut
 	Endpoint EndpointID
 }
 
