--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	maxCommandBytes  = 256                    // longest call, with its end of line
-	commandIOTimeout = 2 * time.Second        // for reading a call, and for writing its answer
-	commandTimeout   = 800 * time.Millisecond // for the loop to carry out a call: an answer is due within 1 s
+	maxCommandBytes  = 256                    // longest command, with its end of line
+	commandIOTimeout = 2 * time.Second        // for reading a command, and for writing its answer
+	commandTimeout   = 800 * time.Millisecond // for the loop to carry out a command: an answer is due within 1 s
 	maxOperatorConns = 24                     // connections at once
 )
 
@@ -39,8 +39,8 @@
 	answer   chan<- error
 }
 
-// adminServer answers operators: each connection sends one line, the call, and receives one line. It starts
-// before the sender can serve clients, so that the call "ready" can report that.
+// adminServer answers operators: each connection sends one line, the command (a "call" in the answers), and receives
+// one line. It starts before the sender can serve clients, so that the command "ready" can report that.
 type adminServer struct {
 	log           *slog.Logger
 	commands      chan<- operatorCommand
@@ -49,7 +49,7 @@
 	addr          net.Addr
 	notReady      error // why this process cannot serve clients; nil if it can
 	conns         map[net.Conn]*operatorConn
-	successorAddr string        // after a handover, where calls are forwarded; empty before
+	successorAddr string        // after a handover, where commands are forwarded; empty before
 	handedOver    chan struct{} // closed at a handover
 	wg            sync.WaitGroup
 }
@@ -57,7 +57,7 @@
 // operatorConn is a connection of the admin server.
 type operatorConn struct {
 	connectedAt time.Time
-	received    bool // its call has been read
+	received    bool // its command has been read
 }
 
 func newAdminServer(log *slog.Logger, sockets int, commands chan<- operatorCommand) *adminServer {
@@ -72,7 +72,7 @@
 	s.notReady = err
 }
 
-// redirect makes calls go to the admin server of the process that has taken over; successorAddr is "-" if it
+// redirect makes commands go to the admin server of the process that has taken over; successorAddr is "-" if it
 // has none.
 func (s *adminServer) redirect(successorAddr string) {
 	s.mu.Lock()
@@ -81,15 +81,15 @@
 	close(s.handedOver)
 }
 
-// forward sends a call to the admin server of the process that has taken over.
-func (s *adminServer) forward(call string) error {
+// forward sends a command to the admin server of the process that has taken over.
+func (s *adminServer) forward(command string) error {
 	conn, err := net.DialTimeout("tcp", s.successorAddr, commandTimeout)
 	if err != nil {
 		return errHandedOver
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(commandTimeout))
-	if _, err := io.WriteString(conn, call+"\n"); err != nil {
+	if _, err := io.WriteString(conn, command+"\n"); err != nil {
 		return errHandedOver
 	}
 	answer, err := bufio.NewReader(io.LimitReader(conn, maxCommandBytes)).ReadString('\n')
@@ -128,7 +128,7 @@
 	return s.notReady
 }
 
-// serve answers operators until ctx is over, and returns when all connections are closed.
+// serve answers operators until ctx is done, and returns when all connections are closed.
 func (s *adminServer) serve(ctx context.Context, ln net.Listener) {
 	defer s.wg.Wait()
 	defer context.AfterFunc(ctx, func() { ln.Close(); s.wakeIdle() })()
@@ -153,8 +153,8 @@
 	}
 }
 
-// addConn adds a connection to the table. If the table is full, the oldest connection that has sent no call is
-// evicted, so that idle connections do not block others. It returns false if there is none.
+// addConn adds a connection to the table. If the table is full, the oldest connection that has sent no command is
+// evicted, so that idle connections do not block others. It returns false if none can be evicted.
 func (s *adminServer) addConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,7 +165,7 @@
 	return true
 }
 
-// evictIdle evicts the oldest connection that has sent no call; false if there is none. Its handler wakes and
+// evictIdle evicts the oldest connection that has sent no command; false if there is none. Its handler wakes and
 // closes the connection. The caller holds s.mu.
 func (s *adminServer) evictIdle() bool {
 	var oldest net.Conn
@@ -182,7 +182,7 @@
 	return true
 }
 
-// markReceived records that the call of a connection has been read; false if the connection was evicted.
+// markReceived records that the command of a connection has been read; false if the connection was evicted.
 func (s *adminServer) markReceived(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,7 +202,7 @@
 	delete(s.conns, conn)
 }
 
-// wakeIdle wakes the handlers of connections that have sent no call.
+// wakeIdle wakes the handlers of connections that have sent no command.
 func (s *adminServer) wakeIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,7 +218,7 @@
 	line, err := bufio.NewReaderSize(io.LimitReader(conn, maxCommandBytes), maxCommandBytes).ReadString('\n')
 	switch admitted := s.markReceived(conn); {
 	case !admitted && err != nil:
-		return // evicted, and no complete call has arrived
+		return // evicted, and no complete command has arrived
 	case !admitted:
 		err = errTooBusy
 	case err == nil:
@@ -227,7 +227,7 @@
 		err = errors.New("no call came in time")
 	case len(line) >= maxCommandBytes:
 		err = errors.New("the call is too long")
-	default: // an incomplete call might name another endpoint
+	default: // an incomplete command might name another endpoint
 		err = errors.New("the call has no end of line")
 	}
 	answer := "ok\n"
@@ -240,7 +240,7 @@
 	}
 }
 
-// executeCall carries out a call and returns why that failed.
+// executeCall carries out a command and returns why that failed.
 func (s *adminServer) executeCall(ctx context.Context, words []string) error {
 	if len(words) == 0 {
 		return errors.New("the call is empty")
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -27,8 +27,8 @@
 	req.answer <- true
 }
 
-func (n *Node) sendRecord(id string, ep logic.EndpointID) record {
-	return record{Op: opSend, ID: id, SentAt: n.clock.NowMicros(), Zone: n.target(ep).ZoneIndex}
+func (n *Node) sendRecord(id string, endpoint logic.EndpointID) record {
+	return record{Op: opSend, ID: id, SentAt: n.clock.NowMicros(), Zone: n.target(endpoint).ZoneIndex}
 }
 
 // requestWritePermission asks the loop whether a call may be written. It returns false once ctx is done.
@@ -88,7 +88,7 @@
 
 // withholdCalls prevents the writing of calls that are still connecting: the decision behind them is outdated, and they
 // would reach the endpoint long after it. They end with the outcome NotSent.
-func (n *Node) withholdCalls(match func(ep logic.EndpointID) bool) {
+func (n *Node) withholdCalls(match func(endpoint logic.EndpointID) bool) {
 	for _, h := range n.held {
 		if h.cancelCall != nil && match(h.call.endpoint) {
 			h.withholdCall()
@@ -104,24 +104,24 @@
 
 // withholdCallsForWait withholds calls to where an endpoint asked for a wait: the whole destination, or only that
 // endpoint where the endpoints are separate routes.
-func (n *Node) withholdCallsForWait(ep logic.EndpointID) {
-	target := n.target(ep)
+func (n *Node) withholdCallsForWait(endpoint logic.EndpointID) {
+	target := n.target(endpoint)
 	kinds := n.cfg.Deployment.Settings.Kinds
 	separateRoutes := target.KindIndex >= 0 && target.KindIndex < len(kinds) && kinds[target.KindIndex].SeparateRoutes
 	n.withholdCalls(func(other logic.EndpointID) bool {
-		return other == ep || !separateRoutes && n.target(other).Destination == target.Destination
+		return other == endpoint || !separateRoutes && n.target(other).Destination == target.Destination
 	})
 }
 
-// probe sends a health check to an endpoint and passes its outcome to the loop.
-func (n *Node) probe(work context.Context, ep logic.EndpointID) {
-	addr := n.target(ep).Address
+// probe sends a health probe to an endpoint and passes its outcome to the loop.
+func (n *Node) probe(work context.Context, endpoint logic.EndpointID) {
+	addr := n.target(endpoint).Address
 	go func() {
 		outcome := logic.ConnRefused
 		if req, err := newProbeRequest(addr); err == nil {
-			outcome = n.transport.do(work, &call{endpoint: ep, addr: addr, startedAt: time.Now(), timeout: probeTimeout, request: req,
+			outcome = n.transport.do(work, &call{endpoint: endpoint, addr: addr, startedAt: time.Now(), timeout: probeTimeout, request: req,
 				state: new(atomic.Int32)}).outcome
 		}
-		n.events <- probeEvent{ep, outcome}
+		n.events <- probeEvent{endpoint, outcome}
 	}()
 }
--- a/internal/node/client_close.go
+++ b/internal/node/client_close.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// refuseTimeout is for reading and refusing the requests that have arrived when a connection is about to be closed.
+// refuseTimeout is for reading and rejecting the requests that have arrived when a connection is about to be closed.
 const refuseTimeout = 100 * time.Millisecond
 
 // closeReason is why a client connection is closed.
@@ -75,7 +75,7 @@
 	}
 }
 
-// refusePending refuses the requests that have arrived when it is called, with -BUSY for a MSG.PUT: its client
+// refusePending rejects the requests that have arrived when it is called, with -BUSY for a MSG.PUT: its client
 // can safely send it again. After refuseTimeout it reads nothing more from the socket, but it answers all
 // requests that it has read. It returns false if an answer could not be written.
 func (cc *clientConn) refusePending() bool {
@@ -146,7 +146,7 @@
 }
 
 // answerLateMessages answers the messages that reach the loop's event channel after the loop has ended, until the
-// last connection is closed or the deadline is over: a request that was read must be answered before the
+// last connection is closed or the deadline has passed: a request that was read must be answered before the
 // process ends.
 func (n *Node) answerLateMessages(deadline time.Time) {
 	timer := time.NewTimer(time.Until(deadline))
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -66,7 +66,7 @@
 	hasServedRequest   bool      // at least one request has been read and answered
 	idleSince          time.Time // when the connection started or its last answer was written
 	lastReadAt         time.Time // when the last bytes were read; zero if none were
-	readOverdueSince   time.Time // when the reader first went on reading past its deadline; zero if it never did
+	readOverdueSince   time.Time // when the reader first continued past its deadline; zero if it never did
 	unansweredRequests int       // complete requests read and not answered yet
 	writingAnswer      bool      // an answer is being written, which takes as long as the client takes to read it
 }
@@ -106,7 +106,7 @@
 	cc.lastReadAt = time.Now()
 }
 
-// mayReadPastDeadline reports whether bytes have arrived that may be read although the read deadline is over.
+// mayReadPastDeadline reports whether bytes have arrived that may be read although the read deadline has passed.
 // It allows that for lastRequestTimeout from the first such read on, and not during a handover: the process
 // that owns the connection afterwards reads them.
 func (cc *clientConn) mayReadPastDeadline() bool {
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -21,7 +21,7 @@
 const (
 	// maxPeerDuration limits times that peers set: a longer time to a deadline is rejected, a longer wait is shortened.
 	maxPeerDuration = 24 * time.Hour
-	// requestReadTimeout is for reading one whole request. For the first request of a connection it starts with the
+	// requestReadTimeout is for reading one complete request. For the first request of a connection it starts with the
 	// connection.
 	requestReadTimeout = 2500 * time.Millisecond
 	answerTimeout      = 2500 * time.Millisecond // for writing one answer
@@ -71,7 +71,7 @@
 	successorAddr   string          // after a handover, the address at which the new process serves clients
 
 	// The counters from here on start at zero after each report.
-	rejectedConns    int // connections closed at once because the table was full or closing
+	rejectedConns    int // connections closed at once because the table was full or closing was set
 	requestsRead     int // complete requests
 	answersWritten   int
 	closedOverUnread int // connections closed with unread bytes: their clients see a reset
@@ -191,7 +191,7 @@
 }
 
 // shutdown wakes the readers of idle connections, which then close them; the other readers finish their
-// request first. It returns when all connections are closed or ctx is over.
+// request first. It returns when all connections are closed or ctx is done.
 func (c *clients) shutdown(ctx context.Context) {
 	c.mu.Lock()
 	c.closing = true
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -26,7 +26,7 @@
 	DiskMB   float64 `json:"disk_mb"`
 }
 
-// maxListBytes returns the size limit of a response of discovery, an eighth of the memory: while it is read, its
+// maxListBytes returns the size limit of an answer of discovery, an eighth of the memory: while it is read, its
 // content is held two more times.
 func (l Limits) maxListBytes() int64 {
 	return max(int64(l.MemoryMB*(1<<20)/8), discovery.MinAnswerLimitBytes)
--- a/internal/node/guard.go
+++ b/internal/node/guard.go
@@ -13,15 +13,15 @@
 	"crossdeal/logic"
 )
 
-// rule names an invariant of the sender. The decision logic keeps all of them; the guard checks them again when an
-// action is carried out, with the state at that time. Each call is checked before anything of it is journaled or
-// written, and a call on a new connection again once that is established. The value of a rule is its name in log lines
-// and counters.
+// rule names an invariant of the sender. The decision logic keeps the rules for calls and ends; the guard checks them
+// again when an action is carried out, with the state at that time. Each call is checked before anything of it is
+// journaled or written, and a call on a new connection again once that is established. The rules for client connections
+// and for the start are kept by this package. The value of a rule is its name in log lines and counters.
 type rule string
 
 // The rules that the guard checks.
 const (
-	ruleDrain         rule = "drain"       // no call to an endpoint that is not up, or that an operator has taken out
+	ruleDrain         rule = "drain"       // no call to an endpoint that is not up, or that an operator has disabled
 	ruleUnconfirmed   rule = "unconfirmed" // no call based on an endpoint list that may be stale
 	ruleWait          rule = "wait"        // no call to a destination or endpoint during a requested wait
 	ruleDestination   rule = "destination" // a message goes only to endpoints of its destination
@@ -119,8 +119,8 @@
 	}
 }
 
-// waitActive reports whether a wait applies to target now. It does not count within waitSlack after its start and
-// before its end. A wait that is over is dropped.
+// waitActive reports whether a wait applies to target now. A wait does not count within waitSlack after its start, nor
+// within waitSlack before its end. A wait that has ended is dropped.
 func (g *guard) waitActive(target waitTarget, now time.Time) bool {
 	w, ok := g.waits[target]
 	if ok && !now.Before(w.until) {
@@ -131,27 +131,27 @@
 }
 
 // waitTargetOf returns what a wait that an endpoint asked for applies to.
-func (n *Node) waitTargetOf(ep logic.EndpointID, target discovery.Target) waitTarget {
+func (n *Node) waitTargetOf(endpoint logic.EndpointID, target discovery.Target) waitTarget {
 	if kinds := n.cfg.Deployment.Settings.Kinds; target.KindIndex >= 0 && target.KindIndex < len(kinds) && kinds[target.KindIndex].SeparateRoutes {
-		return waitTarget{target.Destination, ep}
+		return waitTarget{target.Destination, endpoint}
 	}
 	return waitTarget{destination: target.Destination}
 }
 
 // checkSend returns the rule that a call of h to an endpoint would break now; empty if none.
-func (n *Node) checkSend(h *heldMessage, ep logic.EndpointID, now time.Time) rule {
+func (n *Node) checkSend(h *heldMessage, endpoint logic.EndpointID, now time.Time) rule {
 	settings := &n.cfg.Deployment.Settings
-	target := n.target(ep)
+	target := n.target(endpoint)
 	switch {
 	case h.ended:
 		return ruleSingleAttempt
-	case target.Lifecycle != "" && target.Lifecycle != "up" || n.journal.disabled[n.directory.Name(ep)]:
+	case target.Lifecycle != "" && target.Lifecycle != "up" || n.journal.disabled[n.directory.Name(endpoint)]:
 		return ruleDrain
 	case target.Destination != h.message.Destination:
 		return ruleDestination
 	case !now.Before(n.clock.Time(h.message.Deadline)):
 		return ruleDeadline
-	case n.guard.waitActive(n.waitTargetOf(ep, target), now):
+	case n.guard.waitActive(n.waitTargetOf(endpoint, target), now):
 		return ruleWait
 	case n.repeatForbidden(h.message, now):
 		return ruleRepeat
@@ -185,12 +185,12 @@
 
 // permitCall checks a call that the decision logic has just decided on, before anything of it is journaled or written.
 // A broken rule is a violation, except for a list that became stale or a deadline that passed since the decision.
-func (n *Node) permitCall(id string, ep logic.EndpointID) bool {
+func (n *Node) permitCall(id string, endpoint logic.EndpointID) bool {
 	h := n.held[id]
 	if h == nil {
 		return true // never accepted: startCall reports the outcome
 	}
-	violated := n.checkSend(h, ep, time.Now())
+	violated := n.checkSend(h, endpoint, time.Now())
 	switch {
 	case violated == "" && h.cancelCall != nil:
 		violated = ruleSingleAttempt
@@ -203,7 +203,7 @@
 	case ruleUnconfirmed, ruleDeadline:
 		n.guard.recordWithheld(violated)
 	default:
-		n.guard.recordViolation(violated, "id", id, "endpoint", n.directory.Name(ep), "attempt", h.attempts, "generation", n.listGeneration)
+		n.guard.recordViolation(violated, "id", id, "endpoint", n.directory.Name(endpoint), "attempt", h.attempts, "generation", n.listGeneration)
 	}
 	return false
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -24,7 +24,7 @@
 //
 // If the transfer fails before the acknowledgement, the owner resumes everything where it stopped and refuses handovers
 // for handoverFailureDelay. If the owner is stopped while it waits for the acknowledgement, it ends without resuming:
-// the successor goes on if it has the whole state; otherwise the next start reads the journal.
+// the successor continues if it has the whole state; otherwise the next start reads the journal.
 
 import (
 	"bufio"
@@ -48,8 +48,8 @@
 const (
 	lockFileName                = "lock"     // in the state folder: the process that holds its lock owns the state
 	handoverSocketName          = "handover" // beside it: the socket on which the owner hands over
-	handoverRequestText         = "take 1"   // request with the number of the format: the state as one text ...
-	handoverRequestRows         = "take 2"   // ... or a text, followed by the tables as rows
+	handoverRequestText         = "take 1"   // request for format 1: the state as one text ...
+	handoverRequestRows         = "take 2"   // ... or for format 2: a text, followed by the tables as rows
 	handoverAck                 = "taken\n"  // the successor's acknowledgement
 	handoverRequestTimeout      = time.Second
 	handoverRetryDelay          = 50 * time.Millisecond  // before the owner is asked again, or the lock is tried again
@@ -59,7 +59,7 @@
 	handoverReservedDescriptors = 16              // per process: lock, journal, discovery, notices and the like
 	maxDescriptorsPerMessage    = 200             // descriptors in one message; the kernel allows 253
 	maxStateTextBytes           = 64 << 20
-	minTextBytesPerName         = 600 // bytes of text for each name, at least: shows in advance that a text would be too large
+	minTextBytesPerName         = 600 // bytes of text for each name, at least; shows early that a text is too large
 	maxRowBytes                 = 1 << 20
 	handoverStallTimeout        = 2 * time.Second // a successor that reads nothing for this long has failed
 	handoverFailureDelay        = time.Second     // after a failed transfer, before the next: each one stalls the owner
@@ -166,8 +166,8 @@
 
 // handOver hands the state over to a successor and reports whether this process must end. The loop calls it, so nothing
 // is decided meanwhile. If the successor fails before it has acknowledged the state, everything resumes here. stopped
-// ends the wait for the acknowledgement: this process is about to end then, and the successor goes on if it has the
-// whole state.
+// ends the wait for the acknowledgement: this process is about to end then, and the successor continues if it has
+// the whole state.
 func (n *Node) handOver(work context.Context, next successor, stopped <-chan struct{}) bool {
 	defer next.conn.Close()
 	if n.closing {
@@ -310,14 +310,14 @@
 	sent := max(min(len(parked), descriptorsLeft), 0)
 	conns.clients, state.Clients = parked[:sent], states[:sent]
 	descriptorsLeft -= sent
-	for ep, list := range n.transport.takeAllIdle() {
+	for endpoint, list := range n.transport.takeAllIdle() {
 		for _, conn := range list {
 			if descriptorsLeft--; descriptorsLeft < 0 {
 				conn.Close()
 				continue
 			}
-			conns.idle, conns.idleEndpoints = append(conns.idle, conn), append(conns.idleEndpoints, ep)
-			state.Idle = append(state.Idle, transferIdle{ep, n.clock.Micros(conn.idleSince)})
+			conns.idle, conns.idleEndpoints = append(conns.idle, conn), append(conns.idleEndpoints, endpoint)
+			state.Idle = append(state.Idle, transferIdle{endpoint, n.clock.Micros(conn.idleSince)})
 		}
 	}
 	return state, conns, parked[sent:]
--- a/internal/node/journal.go
+++ b/internal/node/journal.go
@@ -1,6 +1,6 @@
 package node
 
-// The journal: the file of accepted messages from which a restarted process goes on.
+// The journal: the file of accepted messages from which a restarted process resumes.
 //
 // A record says what is about to happen to a message or what has happened to it. The order of writes makes a crash
 // safe:
@@ -9,7 +9,7 @@
 //     crash an attempt with only opConnect has not run, and one with opSend and no outcome may have run.
 //   - opOutcome and opDone follow the end of an attempt, and opEndWithNotice comes before the notice is sent.
 //     opNoticeConfirmed follows the platform's confirmation, and the message leaves the journal.
-//     If writing one of these fails, the sender goes on, and the next rewrite of the file stores it.
+//     If writing one of these fails, the sender continues, and the next rewrite of the file stores it.
 //   - opDisableEndpoint and opEnableEndpoint are in the file before the operator gets an answer.
 //
 // Records are written with plain writes and no fsync: they survive the death of the process, and not a crash of the
@@ -71,8 +71,8 @@
 	opDone                          // the message is delivered, or the endpoint reports that it has ended; no notice
 	opEndWithNotice                 // the message was ended by this sender; its notice is to be sent
 	opNoticeConfirmed               // the platform has confirmed the notice
-	opDisableEndpoint               // an operator has taken an endpoint out; the record's id is the endpoint's name
-	opEnableEndpoint                // an operator has put an endpoint back
+	opDisableEndpoint               // an operator has disabled an endpoint; the record's id is the endpoint's name
+	opEnableEndpoint                // an operator has enabled an endpoint again
 	opConnect                       // an attempt is about to connect; opSend follows when it may be written
 )
 
@@ -111,7 +111,7 @@
 	liveBytes      int64 // estimated size of what a rewrite keeps
 	lastSequence   int
 	entries        map[string]*Entry
-	disabled       map[string]bool // endpoints that an operator has taken out
+	disabled       map[string]bool // endpoints that an operator has disabled
 	needsRewrite   bool            // entries has changes that the file lacks: rewrite before the next append
 }
 
@@ -232,7 +232,7 @@
 }
 
 // Append writes records with a single write, so that a process that dies leaves no record in the file without all those
-// before it. On an error none of them is in the file, and the caller must not go on with what opAccept, opConnect,
+// before it. On an error none of them is in the file, and the caller must not carry out what opAccept, opConnect,
 // opSend or an operator's command announces. Records of what has already happened are applied to the entries all the
 // same, and get into the file with the next rewrite.
 func (j *Journal) Append(recs []record) error {
@@ -340,7 +340,7 @@
 	return list
 }
 
-// DisabledEndpoints returns the names of the endpoints that operators have taken out, sorted.
+// DisabledEndpoints returns the names of the endpoints that operators have disabled, sorted.
 func (j *Journal) DisabledEndpoints() []string { return slices.Sorted(maps.Keys(j.disabled)) }
 
 // Entry returns the entry of a message; nil if the journal has none.
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -41,7 +41,8 @@
 type closingEvent struct{ timeLeft time.Duration }
 
 // loop collects what has arrived, runs a step of the decision logic on it, writes the journal and executes the actions,
-// at most once per tick. It returns errHandedOver once a successor has taken the state.
+// at most once per tick. Events that come up in a step, such as the outcome of a call that cannot be made, get a
+// further step at once. It returns errHandedOver once a successor has taken the state.
 func (n *Node) loop(work context.Context, served, stopped <-chan struct{}) error {
 	tick := max(toDuration(n.cfg.Deployment.Settings.Tick), time.Millisecond)
 	sweep := time.NewTicker(sweepInterval)
@@ -113,7 +114,7 @@
 	}
 }
 
-// logCounts logs the counters of calls and what is held, unless no call was made since the last line.
+// logCounts logs the counters of calls and what is held, unless no event of a call was counted since the last line.
 func (n *Node) logCounts() {
 	if counts := n.transport.takeCounts(); len(counts) > 0 {
 		counts = append(counts, "idle", n.transport.idleCount(), "open", n.openMessages, "owed", len(n.journal.entries))
@@ -156,7 +157,7 @@
 }
 
 // forgetExpired drops the ids of ended messages whose deadline has passed, and removed endpoints that have expired. It
-// keeps endpoints that an operator has taken out or that a call is in flight to.
+// keeps endpoints that an operator has disabled or that a call is in flight to.
 func (n *Node) forgetExpired() {
 	now := time.Now()
 	n.directory.RemoveExpired(now, func(name string, id logic.EndpointID) bool {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -18,9 +18,9 @@
 	"crossdeal/logic"
 )
 
-// writeRequest asks the loop for permission to write a call on a new connection. The journal must have the send first:
-// the next process that reads it must see a call that only connected as one that never ran, and a call that was written
-// as one that may have run.
+// writeRequest asks the loop for permission to write a call on a new connection. The journal must have the opSend
+// record first: the next process that reads it must see a call that only connected as one that never ran, and a call
+// that was written as one that may have run.
 type writeRequest struct {
 	call   *call
 	answer chan<- bool
@@ -183,8 +183,8 @@
 }
 
 // target returns where an endpoint can be reached; without an address if it never had one.
-func (n *Node) target(ep logic.EndpointID) discovery.Target {
-	t, _ := n.directory.Target(ep)
+func (n *Node) target(endpoint logic.EndpointID) discovery.Target {
+	t, _ := n.directory.Target(endpoint)
 	return t
 }
 
--- a/internal/node/notices.go
+++ b/internal/node/notices.go
@@ -17,8 +17,8 @@
 
 const (
 	maxNoticesPerRequest = 256                    // upper bound per request
-	noticeMinTimeout     = 150 * time.Millisecond // a response is normally immediate: a dead connection shows early ...
-	noticeMaxTimeout     = time.Second            // ... and doubled after each failure, up to this, for a slow platform
+	noticeMinTimeout     = 150 * time.Millisecond // at first: normal responses are immediate, so dead connections show early
+	noticeMaxTimeout     = time.Second            // at most, after doubling with each failure: for a slow platform
 	noticeMinRetryDelay  = 50 * time.Millisecond  // delay after the first failed request
 	noticeMaxRetryDelay  = 400 * time.Millisecond // longest delay: a notice is due soon after the message's deadline
 )
--- a/internal/node/replay.go
+++ b/internal/node/replay.go
@@ -8,7 +8,8 @@
 
 // resumeFromJournal passes the messages of the journal to the decision logic with the outcomes of their attempts so
 // far, and loads the initial endpoint list. At a restart, even with an empty journal, the configured list lacks the
-// changes since it was written, so the list counts as stale. Where an agent pushes the list, it does at every start.
+// changes since it was written, so the list counts as stale. Where an agent pushes the list, it counts as stale
+// at every start.
 func (n *Node) resumeFromJournal() {
 	generation, listed := n.loadInitialList()
 	if listed {
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -72,7 +72,7 @@
 }
 
 // requestState asks the owner for the whole state in a format. All of it is checked before it is acknowledged, so that
-// the owner goes on if anything is wrong.
+// the owner resumes if anything is wrong.
 func (n *Node) requestState(format string) (_ *takeover, err error) {
 	path, d, err := handoverSocketPath(n.cfg.StateDir)
 	if err != nil {
@@ -215,7 +215,7 @@
 		knownGeneration, n.listGeneration = t.Generation, t.Generation
 	}
 	n.matchSavedList(t.Discovery, t.Generation)
-	n.watcher.SetInitialState(knownGeneration, true) // without the random delay before the watch of a first start
+	n.watcher.SetInitialState(knownGeneration, true) // as at a restart: without the random delay of a first start
 	for id, until := range t.Recent {
 		n.recentIDs[id] = n.clock.Time(until)
 	}
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -67,7 +67,7 @@
 
 type transferClient struct {
 	Since  int64 // Unix time in microseconds of the connection's start or of the last answer on it
-	Proven bool  // it has had a complete request
+	Proven bool  // at least one request on it has been answered
 }
 
 // nameRow is the row of an endpoint: its name, id and target.
--- a/internal/node/transport.go
+++ b/internal/node/transport.go
@@ -374,9 +374,9 @@
 	defer t.mu.Unlock()
 	var oldestEndpoint logic.EndpointID
 	var oldest *endpointConn
-	for ep, list := range t.idle {
+	for endpoint, list := range t.idle {
 		if len(list) > 0 && (oldest == nil || list[0].idleSince.Before(oldest.idleSince)) {
-			oldestEndpoint, oldest = ep, list[0]
+			oldestEndpoint, oldest = endpoint, list[0]
 		}
 	}
 	if oldest == nil {
@@ -455,14 +455,14 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// takeIdle removes the most recently used idle connection to ep and addr that is still usable from the pool and returns
-// it; nil if there is none. It closes the unusable ones that it meets.
-func (t *transport) takeIdle(ep logic.EndpointID, addr string) *endpointConn {
+// takeIdle removes the most recently used idle connection to endpoint and addr that is still usable from the pool and
+// returns it; nil if there is none. It closes the unusable ones that it meets.
+func (t *transport) takeIdle(endpoint logic.EndpointID, addr string) *endpointConn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for list := t.idle[ep]; len(list) > 0; list = t.idle[ep] {
+	for list := t.idle[endpoint]; len(list) > 0; list = t.idle[endpoint] {
 		conn := list[len(list)-1]
-		t.idle[ep] = list[:len(list)-1]
+		t.idle[endpoint] = list[:len(list)-1]
 		t.idleTotal--
 		if conn.addr == addr && t.reusable(conn) {
 			return conn
@@ -483,16 +483,16 @@
 }
 
 // putIdle keeps a connection for the next call; false if the pool is full.
-func (t *transport) putIdle(ep logic.EndpointID, conn *endpointConn) bool {
+func (t *transport) putIdle(endpoint logic.EndpointID, conn *endpointConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.idle[ep]) >= t.maxIdlePerEndpoint || t.idleTotal >= t.maxIdle {
+	if len(t.idle[endpoint]) >= t.maxIdlePerEndpoint || t.idleTotal >= t.maxIdle {
 		return false
 	}
 	t.countConn(conn)
 	conn.idleSince = time.Now()
 	conn.SetDeadline(time.Time{})
-	t.idle[ep] = append(t.idle[ep], conn)
+	t.idle[endpoint] = append(t.idle[endpoint], conn)
 	t.idleTotal++
 	return true
 }
@@ -513,22 +513,22 @@
 	return t.idleTotal
 }
 
-// closeIdle closes the idle connections to ep.
-func (t *transport) closeIdle(ep logic.EndpointID) {
+// closeIdle closes the idle connections to an endpoint.
+func (t *transport) closeIdle(endpoint logic.EndpointID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, conn := range t.idle[ep] {
+	for _, conn := range t.idle[endpoint] {
 		conn.Close()
 		t.idleTotal--
 	}
-	delete(t.idle, ep)
+	delete(t.idle, endpoint)
 }
 
 // closeStale closes idle connections that are not reusable.
 func (t *transport) closeStale() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for ep, list := range t.idle {
+	for endpoint, list := range t.idle {
 		kept := list[:0]
 		for _, conn := range list {
 			if t.reusable(conn) {
@@ -538,8 +538,8 @@
 				t.idleTotal--
 			}
 		}
-		if t.idle[ep] = kept; len(kept) == 0 {
-			delete(t.idle, ep)
+		if t.idle[endpoint] = kept; len(kept) == 0 {
+			delete(t.idle, endpoint)
 		}
 	}
 }
@@ -558,7 +558,7 @@
 	return req, nil
 }
 
-// newProbeRequest returns the health check request for an endpoint.
+// newProbeRequest returns the health probe request for an endpoint.
 func newProbeRequest(addr string) (*http.Request, error) {
 	return http.NewRequest(http.MethodGet, "http://"+addr+"/alive", nil)
 }
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -265,13 +265,13 @@
 	f.Messages++
 	f.Held++
 	class := sim.random.IntN(len(f.cfg.Settings.Classes))
-	c := logic.NewMessage{ID: strconv.Itoa(sim.messagesMade), TimeLeft: f.cfg.Settings.Classes[class].Deadline,
+	newMessage := logic.NewMessage{ID: strconv.Itoa(sim.messagesMade), TimeLeft: f.cfg.Settings.Classes[class].Deadline,
 		Destination: sim.random.Int64N(int64(f.cfg.Destinations)), Tenant: -1, Class: class}
 	if f.cfg.OrderKeys > 0 {
-		c.Key = strconv.Itoa(sim.random.IntN(f.cfg.OrderKeys))
+		newMessage.Key = strconv.Itoa(sim.random.IntN(f.cfg.OrderKeys))
 	}
-	sim.openMessages[c.ID] = &message{destination: c.Destination}
-	f.queueEvent(sim, c)
+	sim.openMessages[newMessage.ID] = &message{destination: newMessage.Destination}
+	f.queueEvent(sim, newMessage)
 }
 
 func (f *Fleet) handleAnswer(sim *simulatedSender, e *event) {
--- a/internal/scale/standin/discovery.go
+++ b/internal/scale/standin/discovery.go
@@ -200,17 +200,17 @@
 	return d.cachedList
 }
 
-func appendListHead(b []byte, gen int64, full bool) []byte {
+func appendListHead(b []byte, gen int64, whole bool) []byte {
 	b = append(b, `{"generation":`...)
 	b = strconv.AppendInt(b, gen, 10)
 	b = append(b, `,"reset":`...)
-	b = strconv.AppendBool(b, full)
+	b = strconv.AppendBool(b, whole)
 	return append(b, `,"instances":[`...)
 }
 
-// listSince returns the list for a request that knows generation from (or none): the changes since then, or the full
+// listSince returns the list for a request that knows generation from (or none): the changes since then, or the whole
 // list if there is no such generation or its changes are not kept. changed reports whether the text holds anything new.
-func (d *Discovery) listSince(from int64, known bool) (text []byte, full, changed bool) {
+func (d *Discovery) listSince(from int64, known bool) (text []byte, whole, changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !known || from > d.generation || d.generation-from > int64(min(len(d.changeLog), d.cfg.KeptChanges)) {
@@ -469,13 +469,14 @@
 		d.mu.Lock()
 		listChanged := d.changed
 		d.mu.Unlock()
-		text, full, changed := d.listSince(from, fromErr == nil)
+		text, whole, changed := d.listSince(from, fromErr == nil)
 		if changed || holdExpired {
-			if done, err := d.applyFault(sc, true); done || err != nil { // a fault that began while the request was held, or a delay
+			// A fault may have begun while the request was held, or delays the answer.
+			if done, err := d.applyFault(sc, true); done || err != nil {
 				return err
 			}
 			d.countTraffic(sc.sender, func(c *Traffic) {
-				if full {
+				if whole {
 					c.WholeLists++
 				}
 			})
--- a/internal/scale/standin/fault.go
+++ b/internal/scale/standin/fault.go
@@ -27,22 +27,22 @@
 	return [...]string{"healthy", "refuse", "reset", "silent", "nonsense", "503", "cut", "older", "endless", "late"}[k]
 }
 
-// Fault is a misbehavior of discovery from From until To, both measured from the start of the stand-in. Where several
-// faults are active, the last one of the script applies.
+// Fault is a misbehaviour of discovery from From until To, both measured from the start of the stand-in. Where several
+// faults are active, the last one of those given to SetFaults applies.
 type Fault struct {
 	Kind     FaultKind
 	From, To time.Duration
 	Delay    time.Duration // of an answer, if Kind is Delayed
 }
 
-// SetFaults replaces the script of faults.
+// SetFaults replaces the faults.
 func (d *Discovery) SetFaults(faults ...Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults = faults
 }
 
-// SetFaultNow replaces the script by one fault that begins at once and does not end; Healthy ends all faults.
+// SetFaultNow replaces the faults by one that begins at once and does not end; Healthy ends all faults.
 func (d *Discovery) SetFaultNow(kind FaultKind, delay time.Duration) {
 	d.SetFaults(Fault{Kind: kind, From: time.Since(d.start), To: 1 << 62, Delay: delay})
 	if kind == Refuse { // like a process that has died
--- a/internal/scale/standin/network.go
+++ b/internal/scale/standin/network.go
@@ -54,7 +54,7 @@
 	return l, nil
 }
 
-// Dial connects a host to an address. From an isolated host it waits until ctx ends.
+// Dial connects a host to an address. From an isolated host it waits until ctx is done.
 func (n *Network) Dial(ctx context.Context, host, addr string) (net.Conn, error) {
 	if n.isIsolated(host) {
 		<-ctx.Done()
--- a/internal/scale/target.go
+++ b/internal/scale/target.go
@@ -2,12 +2,13 @@
 
 import "crossdeal/logic"
 
-// The target load and the limits of cost, for the whole fleet and for one sender of it.
+// The target load and the limits of cost, for the whole fleet and for one sender of it. "Control" stands for receiving
+// the endpoint list and keeping the state of its endpoints, as opposed to handling messages.
 const (
 	TargetSenders         = 540
 	TargetEventRate       = 1.1e6 // events a second, all senders together
 	TargetDestinations    = 100_000
-	TargetEntries         = 200_000                              // entries of the list at most
+	TargetEntries         = 200_000                              // entries of the list, at most
 	TargetDownShare       = 0.017                                // share of the destinations that are down at any time
 	TargetChangesPerDay   = 1400                                 // changes of configuration a day
 	TargetInForceSeconds  = 17                                   // seconds until a change is in force at all senders
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -48,7 +48,7 @@
 	Answer       string        // answer line with its line end; empty if none was received
 	AnsweredAt   time.Time
 	ClosedAt     time.Time // when its connection was closed without an answer; zero if it was not
-	ReadBySender bool      // ClosedAt is set, and the sender had read the whole request
+	ReadBySender bool      // ClosedAt is set, and the sender had read the complete request
 	TimedOut     bool      // the client stopped waiting for the answer
 }
 
--- a/internal/soak/endpoint.go
+++ b/internal/soak/endpoint.go
@@ -220,7 +220,7 @@
 	return writeResponse(conn, "200 x", "") && behaviour != CloseAfterAnswer
 }
 
-// waitForClose waits up to limit for the caller to close its side, and reports whether it did.
+// waitForClose waits up to limit for the sender to close its side, and reports whether it did.
 func (e *endpoint) waitForClose(conn net.Conn, reader *bufio.Reader, limit time.Duration) (closed bool) {
 	conn.SetReadDeadline(time.Now().Add(limit))
 	_, err := reader.Peek(1)
--- a/internal/soak/harness.go
+++ b/internal/soak/harness.go
@@ -17,11 +17,11 @@
 type Config struct {
 	Seed              uint64
 	Program           string        // path of the sender's binary
-	Dir               string        // for state directories, configurations and logs
+	Dir               string        // for state folders, configurations and logs
 	Senders           int           // senders that run as real processes
 	ConfiguredSenders int           // number of senders in the settings; 0 for the number of real ones
 	FaultPeriod       time.Duration // faults begin within this time from the start
-	Pushed            bool          // membership mode: an agent has the list; otherwise the list comes on request
+	Pushed            bool          // membership mode: an agent pushes the list; otherwise the sender requests it
 	Log               func(format string, args ...any)
 }
 
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -24,11 +24,11 @@
 	BadLines     []string // log lines that report a broken rule or a crash
 }
 
-// managedSender runs the processes of one sender, which share a directory and an address.
+// managedSender runs the processes of one sender, which share a folder and an address.
 type managedSender struct {
 	name          string
 	program       string
-	dir           string // holds its state directory, configuration and log
+	dir           string // holds its state folder, configuration and log
 	listenAddress string
 	agent         *agent
 	makeConfig    func(discovery string) []byte
