--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -48,12 +48,12 @@
 }
 
 type page struct {
-	records   [recordsPerPage]record
+	records   [recordsPerPage]endpointRecord
 	usedCount int
 }
 
-// record is what the list last said about an endpoint.
-type record struct {
+// endpointRecord is what the list last said about an endpoint.
+type endpointRecord struct {
 	name        string
 	address     string
 	destination int64
@@ -161,7 +161,7 @@
 }
 
 // record returns the record of a number; nil if there is none.
-func (d *Directory) record(id logic.EndpointID) *record {
+func (d *Directory) record(id logic.EndpointID) *endpointRecord {
 	p := d.pages[id/recordsPerPage]
 	if p == nil || p.records[id%recordsPerPage].state == stateEmpty {
 		return nil
@@ -208,7 +208,7 @@
 }
 
 // removeFromCounts removes a record from the counts of announced and omitted endpoints, before it changes.
-func (d *Directory) removeFromCounts(id logic.EndpointID, r *record) {
+func (d *Directory) removeFromCounts(id logic.EndpointID, r *endpointRecord) {
 	switch {
 	case r.announced && r.state == stateUp:
 		if d.announcedUpCounts[r.destination]--; d.announcedUpCounts[r.destination] == 0 {
@@ -224,7 +224,7 @@
 
 // addToCounts decides whether the decision logic gets a record, counts it and returns the decision. A draining endpoint
 // takes no room, but is not newly announced where there is none.
-func (d *Directory) addToCounts(id logic.EndpointID, r *record) bool {
+func (d *Directory) addToCounts(id logic.EndpointID, r *endpointRecord) bool {
 	hasRoom := d.announcedUpCounts[r.destination] < maxAnnouncedPerDestination
 	switch {
 	case !r.state.isListed():
@@ -262,7 +262,7 @@
 }
 
 // setState changes the state of a record and the counts by state.
-func (d *Directory) setState(id logic.EndpointID, r *record, s recordState, now time.Time) {
+func (d *Directory) setState(id logic.EndpointID, r *endpointRecord, s recordState, now time.Time) {
 	if r.state.isListed() {
 		d.listedCount--
 	}
@@ -283,13 +283,13 @@
 }
 
 // entry returns a record in the form that the decision logic gets.
-func (d *Directory) entry(id logic.EndpointID, r *record) logic.Entry {
+func (d *Directory) entry(id logic.EndpointID, r *endpointRecord) logic.Entry {
 	return logic.Entry{Endpoint: id, Zone: d.zones.settingsIndexes[r.zoneLabel],
 		Kind: d.kinds.settingsIndexes[r.kindLabel], Destination: r.destination, State: r.state.endpointState(), Nominal: r.weight}
 }
 
 // instance returns a record in the form of the list.
-func (d *Directory) instance(r *record) Instance {
+func (d *Directory) instance(r *endpointRecord) Instance {
 	return Instance{ID: r.name, HostPort: r.address, Zone: d.zones.names[r.zoneLabel], Kind: d.kinds.names[r.kindLabel],
 		Destination: r.destination, Lifecycle: r.state.lifecycle(), Weight: r.weight}
 }
@@ -318,7 +318,7 @@
 }
 
 // addRecord assigns a number to a name.
-func (d *Directory) addRecord(name string, id logic.EndpointID) *record {
+func (d *Directory) addRecord(name string, id logic.EndpointID) *endpointRecord {
 	d.idsByName[name], d.lastID = id, max(d.lastID, id)
 	p := d.pages[id/recordsPerPage]
 	if p == nil {
@@ -329,15 +329,15 @@
 	if r.state == stateEmpty {
 		p.usedCount++
 	}
-	*r = record{name: name, state: stateUnlisted}
+	*r = endpointRecord{name: name, state: stateUnlisted}
 	return r
 }
 
 // removeRecord removes a name and its number.
-func (d *Directory) removeRecord(id logic.EndpointID, r *record) {
+func (d *Directory) removeRecord(id logic.EndpointID, r *endpointRecord) {
 	delete(d.idsByName, r.name)
 	delete(d.unlistedSince, id)
-	*r = record{}
+	*r = endpointRecord{}
 	p := d.pages[id/recordsPerPage]
 	if p.usedCount--; p.usedCount == 0 {
 		delete(d.pages, id/recordsPerPage)
@@ -436,8 +436,8 @@
 }
 
 // records yields all records in the order of their numbers.
-func (d *Directory) records() iter.Seq2[logic.EndpointID, *record] {
-	return func(yield func(logic.EndpointID, *record) bool) {
+func (d *Directory) records() iter.Seq2[logic.EndpointID, *endpointRecord] {
+	return func(yield func(logic.EndpointID, *endpointRecord) bool) {
 		for pageIndex := logic.EndpointID(0); pageIndex <= d.lastID/recordsPerPage; pageIndex++ {
 			p := d.pages[pageIndex]
 			if p == nil {
--- a/internal/discovery/faults_test.go
+++ b/internal/discovery/faults_test.go
@@ -269,7 +269,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	var watches sync.WaitGroup
 	watching, inputs := s.pushed, []logic.Event{
-		logic.ListUpdate{Form: logic.ListCached, Entries: directory.Entries(), Stale: true}}
+		logic.ListUpdate{Form: logic.ListSaved, Entries: directory.Entries(), Stale: true}}
 	if watching { // the decision logic need not request a watch
 		watches.Go(func() { client.Watch(ctx) })
 	}
--- a/internal/discovery/stream.go
+++ b/internal/discovery/stream.go
@@ -203,7 +203,7 @@
 	c.directory.mu.RLock()
 	defer c.directory.mu.RUnlock()
 	id, known := c.directory.idsByName[string(r.ID)]
-	var current *record
+	var current *endpointRecord
 	if known {
 		current = c.directory.record(id)
 	}
@@ -250,7 +250,7 @@
 }
 
 // differs reports whether a row differs from a record, which may be nil.
-func (d *Directory) differs(current *record, r *instanceBuffer) bool {
+func (d *Directory) differs(current *endpointRecord, r *instanceBuffer) bool {
 	state := parseLifecycle(string(r.Lifecycle))
 	if current == nil || current.state != state || state == stateUnlisted {
 		return state != stateUnlisted || current != nil && current.state != stateUnlisted
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -222,7 +222,7 @@
 	case !admitted:
 		err = errTooBusy
 	case err == nil:
-		err = s.executeCall(ctx, strings.Fields(line))
+		err = s.executeCommand(ctx, strings.Fields(line))
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		err = errors.New("no call came in time")
 	case len(line) >= maxCommandBytes:
@@ -240,8 +240,8 @@
 	}
 }
 
-// executeCall carries out a command and returns why that failed.
-func (s *adminServer) executeCall(ctx context.Context, words []string) error {
+// executeCommand carries out a command and returns why that failed.
+func (s *adminServer) executeCommand(ctx context.Context, words []string) error {
 	if len(words) == 0 {
 		return errors.New("the call is empty")
 	}
--- a/internal/node/client_close.go
+++ b/internal/node/client_close.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// refuseTimeout is for reading and rejecting the requests that have arrived when a connection is about to be closed.
-const refuseTimeout = 100 * time.Millisecond
+// rejectTimeout is for reading and rejecting the requests that have arrived when a connection is about to be closed.
+const rejectTimeout = 100 * time.Millisecond
 
 // closeReason is why a client connection is closed.
 type closeReason string
@@ -43,7 +43,7 @@
 	cc.table.mu.Lock()
 	cc.setState(connClosing)
 	cc.table.mu.Unlock()
-	if reason.readsRemaining() && !cc.refusePending() {
+	if reason.readsRemaining() && !cc.rejectPending() {
 		reason = closedUnwritten
 	}
 	cc.markDrained(reason)
@@ -75,11 +75,11 @@
 	}
 }
 
-// refusePending rejects the requests that have arrived when it is called, with -BUSY for a MSG.PUT: its client
-// can safely send it again. After refuseTimeout it reads nothing more from the socket, but it answers all
+// rejectPending rejects the requests that have arrived when it is called, with -BUSY for a MSG.PUT: its client
+// can safely send it again. After rejectTimeout it reads nothing more from the socket, but it answers all
 // requests that it has read. It returns false if an answer could not be written.
-func (cc *clientConn) refusePending() bool {
-	deadline := time.Now().Add(refuseTimeout)
+func (cc *clientConn) rejectPending() bool {
+	deadline := time.Now().Add(rejectTimeout)
 	cc.readLimit = availableBytes(cc.Conn)
 	for cc.reader.Buffered() > 0 || cc.readLimit != 0 && hasData(cc.Conn) {
 		if !time.Now().Before(deadline) {
@@ -88,7 +88,7 @@
 		cc.SetReadDeadline(deadline)
 		args, err := readCommand(cc.reader)
 		if err != nil {
-			cc.unreadableReason(err)
+			cc.answerUnreadable(err)
 			break
 		}
 		cc.completeRequest()
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -274,7 +274,7 @@
 func (cc *clientConn) serveRequest() closeReason {
 	args, err := readCommand(cc.reader)
 	if err != nil {
-		return cc.unreadableReason(err)
+		return cc.answerUnreadable(err)
 	}
 	if !cc.completeRequest() { // evicted while it was being read: too late to be carried out
 		if !cc.answerRequest(cc.table.rejectRequest(args)) {
@@ -300,9 +300,9 @@
 	return time.Now().Add(requestReadTimeout)
 }
 
-// unreadableReason returns why a connection is closed whose next request could not be read. If it was
+// answerUnreadable returns why a connection is closed whose next request could not be read. If it was
 // malformed, its client gets an error line.
-func (cc *clientConn) unreadableReason(err error) closeReason {
+func (cc *clientConn) answerUnreadable(err error) closeReason {
 	switch {
 	case errors.Is(err, errProtocol):
 		cc.writeAnswer("-ERR " + err.Error() + "\r\n")
--- a/internal/node/initial_list_test.go
+++ b/internal/node/initial_list_test.go
@@ -172,7 +172,7 @@
 		for i, name := range []string{"s-0", "s-1", "gone"} {
 			n.directory.Adopt(name, 10+n.directory.AssignID("")+1, discovery.Target{Address: rows[i%2].HostPort, Destination: 1})
 		}
-		n.matchSavedList("http://"+cfg.DiscoveryAddr, generation)
+		n.loadSavedStates("http://"+cfg.DiscoveryAddr, generation)
 		if got := n.directory.AllStatesKnown() && n.directory.Len() == 2; got != want {
 			t.Errorf("generation %d: all states known %v, %d entries", generation, n.directory.AllStatesKnown(), n.directory.Len())
 		}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -21,7 +21,7 @@
 	sweepsPerCountLog     = 5                      // sweeps between two "calls" log lines
 	retryDelay            = 250 * time.Millisecond // after an attempt that was denied or could not be journaled
 	eventBufferSize       = 4096
-	maxMatchedRows        = 20000 // a saved list with more rows is not read during a handover
+	maxSavedStateRows     = 20000 // a saved list with more rows is not read during a handover
 )
 
 // replyEvent carries the one result of an attempt.
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -47,13 +47,13 @@
 	return list.Generation, true
 }
 
-// matchSavedList reads the states of endpoints from the saved list after a handover from an earlier version, which does
+// loadSavedStates reads the states of endpoints from the saved list after a handover from an earlier version, which does
 // not hand them over. The saved list must have the origin and the generation that were handed over. Otherwise the
-// states follow with the next whole list, and nothing is saved until then. Lists of more than maxMatchedRows rows are
+// states follow with the next whole list, and nothing is saved until then. Lists of more than maxSavedStateRows rows are
 // not read, since clients wait meanwhile.
-func (n *Node) matchSavedList(origin string, generation int64) {
+func (n *Node) loadSavedStates(origin string, generation int64) {
 	saved, err := n.listStore.Peek()
-	if n.directory.AllStatesKnown() || err != nil || "http://"+saved.Origin != origin || saved.Generation != generation || saved.RowCount > maxMatchedRows {
+	if n.directory.AllStatesKnown() || err != nil || "http://"+saved.Origin != origin || saved.Generation != generation || saved.RowCount > maxSavedStateRows {
 		return
 	}
 	now := time.Now()
--- a/internal/node/replay.go
+++ b/internal/node/replay.go
@@ -13,7 +13,7 @@
 func (n *Node) resumeFromJournal() {
 	generation, listed := n.loadInitialList()
 	if listed {
-		n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListCached, Entries: n.directory.Entries(), Stale: n.restarted || n.cfg.Deployment.Settings.ListPushed})
+		n.nextEvents = append(n.nextEvents, logic.ListUpdate{Form: logic.ListSaved, Entries: n.directory.Entries(), Stale: n.restarted || n.cfg.Deployment.Settings.ListPushed})
 	}
 	n.watcher.SetInitialState(generation, n.restarted)
 	for _, id := range n.journal.DisabledEndpoints() {
--- a/internal/node/takeover.go
+++ b/internal/node/takeover.go
@@ -214,7 +214,7 @@
 	if t.Discovery == n.watcher.BaseURL() && t.Generation != 0 {
 		knownGeneration, n.listGeneration = t.Generation, t.Generation
 	}
-	n.matchSavedList(t.Discovery, t.Generation)
+	n.loadSavedStates(t.Discovery, t.Generation)
 	n.watcher.SetInitialState(knownGeneration, true) // as at a restart: without the random delay of a first start
 	for id, until := range t.Recent {
 		n.recentIDs[id] = n.clock.Time(until)
--- a/internal/node/transfer_bench_test.go
+++ b/internal/node/transfer_bench_test.go
@@ -28,7 +28,7 @@
 			i>>16, i>>8&255, i&255), Zone: "a", Kind: "std", Destination: int64(i / 2), Lifecycle: "up", Weight: 30})
 	}
 	entries := n.directory.Apply(&discovery.Update{Generation: 1, Whole: true, Rows: rows}, time.Now())
-	n.sender.Step(0, []logic.Event{logic.ListUpdate{Form: logic.ListFull, Entries: entries}})
+	n.sender.Step(0, []logic.Event{logic.ListUpdate{Form: logic.ListWhole, Entries: entries}})
 	now, id := logic.Micros(0), 0
 	for range 3 {
 		for d := range destinations {
--- a/internal/scale/bound_test.go
+++ b/internal/scale/bound_test.go
@@ -37,7 +37,7 @@
 	}
 	var few, many allocations
 	for n, allocated := range map[int]*allocations{1000: &few, 32_000: &many} {
-		list := FullList(n/2, 2, 6, DestinationRate)
+		list := WholeList(n/2, 2, 6, DestinationRate)
 		d := newDriver(t, largeSettings(), list)
 		changes := 0
 		step := func() { d.step(toggleEntry(changes, list)); changes++ }
@@ -62,8 +62,8 @@
 // under 256 MB, which bounds the peak memory: 1,280 B an entry.
 func TestBoundStart(t *testing.T) {
 	const n, limit = 16_000, ControlMemoryBytes / TargetEntries
-	list := FullList(n/2, 2, 6, DestinationRate)
-	list.Form = logic.ListCached
+	list := WholeList(n/2, 2, 6, DestinationRate)
+	list.Form = logic.ListSaved
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	newDriver(t, largeSettings(), list)
@@ -80,7 +80,7 @@
 // tick of 5 ms for the journal and the sockets.
 func TestBoundStep(t *testing.T) {
 	held := int(math.Round(SenderRateRegionLost * 0.29))
-	d := newDriver(t, waitingSettings(), FullList(1000, 2, 6, blockingRate))
+	d := newDriver(t, waitingSettings(), WholeList(1000, 2, 6, blockingRate))
 	d.holdMessages(held, 1000)
 	tick := float64(Settings(1).Tick)
 	took := cpuMicros(20, d.idle)
--- a/internal/scale/discovery_test.go
+++ b/internal/scale/discovery_test.go
@@ -319,7 +319,7 @@
 	}()
 	var pending []logic.Event
 	if generation >= 0 {
-		pending = append(pending, logic.ListUpdate{Form: logic.ListCached, Stale: restart})
+		pending = append(pending, logic.ListUpdate{Form: logic.ListSaved, Stale: restart})
 	}
 	watching, appliedGeneration := false, int64(0)
 	for {
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -161,7 +161,7 @@
 	cfg.EndpointsEach = max(cfg.EndpointsEach, 1)
 	f := &Fleet{cfg: cfg, destinations: make([]destination, cfg.Destinations), digest: fnv.New64a(),
 		EjectedAt: map[int64]map[int]logic.Micros{}}
-	list := FullList(cfg.Destinations, cfg.EndpointsEach, cfg.Settings.Zones, cfg.RateLimit)
+	list := WholeList(cfg.Destinations, cfg.EndpointsEach, cfg.Settings.Zones, cfg.RateLimit)
 	for i := range cfg.Senders {
 		settings := cfg.Settings
 		settings.Zone = i % max(settings.Zones, 1)
@@ -180,10 +180,10 @@
 	return f, nil
 }
 
-// FullList returns a whole list of destinations 0 to destinations-1 with endpointsEach endpoints each. Endpoint j of
+// WholeList returns a whole list of destinations 0 to destinations-1 with endpointsEach endpoints each. Endpoint j of
 // destination i has the ID i*endpointsEach+j+1. The limit is listed as the nominal rate.
-func FullList(destinations, endpointsEach, zones int, limit float64) logic.ListUpdate {
-	ev := logic.ListUpdate{Form: logic.ListFull, Entries: make([]logic.Entry, 0, destinations*endpointsEach)}
+func WholeList(destinations, endpointsEach, zones int, limit float64) logic.ListUpdate {
+	ev := logic.ListUpdate{Form: logic.ListWhole, Entries: make([]logic.Entry, 0, destinations*endpointsEach)}
 	for i := range destinations * endpointsEach {
 		ev.Entries = append(ev.Entries, logic.Entry{Endpoint: logic.EndpointID(i + 1), Destination: int64(i / endpointsEach),
 			Zone: i % max(zones, 1), Nominal: limit})
--- a/internal/scale/logic_cost_test.go
+++ b/internal/scale/logic_cost_test.go
@@ -129,7 +129,7 @@
 		event := Series{Name: "a message (came, sent, delivered), all held are out", XUnit: "messages held", YUnit: "us",
 			TargetX: heldTarget, Fixed: fixed, Note: "what each of ten adds to a step"}
 		for _, n := range heldSizes {
-			d := newDriver(t, largeSettings(), FullList(destinations, endpointsEach, 6, 0))
+			d := newDriver(t, largeSettings(), WholeList(destinations, endpointsEach, 6, 0))
 			d.holdMessages(n, destinations)
 			if len(d.openCalls) != n {
 				t.Fatalf("%d of %d messages are in flight, want all", len(d.openCalls), n)
@@ -146,7 +146,7 @@
 			})
 			event.Points = append(event.Points, Point{float64(n), max(busy-idle, 0) / batch})
 
-			d = newDriver(t, waitingSettings(), FullList(destinations, endpointsEach, 6, blockingRate))
+			d = newDriver(t, waitingSettings(), WholeList(destinations, endpointsEach, 6, blockingRate))
 			d.holdMessages(n, destinations)
 			if len(d.openCalls) > n/20 {
 				t.Fatalf("%d of %d messages were sent, want at most one in 20", len(d.openCalls), n)
@@ -173,7 +173,7 @@
 // newListedSender returns a sender that has a list of destinations and, with withTraffic, has delivered a message to
 // each.
 func newListedSender(t testing.TB, destinations, endpointsEach int, withTraffic bool) *logic.Sender {
-	d := newDriver(t, largeSettings(), FullList(destinations, endpointsEach, 6, 0))
+	d := newDriver(t, largeSettings(), WholeList(destinations, endpointsEach, 6, 0))
 	if withTraffic {
 		for first := 0; first < destinations; first += 1000 {
 			var events []logic.Event
@@ -216,17 +216,17 @@
 	keys := Series{Name: "heap: order keys at rest", XUnit: "keys", YUnit: "B", TargetX: 100_000, Note: "forgotten once their number has doubled"}
 	for _, n := range []int{1000, 4000, 16_000, 32_000} {
 		inFlight.Points = append(inFlight.Points, Point{float64(n), heapBytes(func() *logic.Sender {
-			d := newDriver(t, largeSettings(), FullList(1000, 1, 6, 0))
+			d := newDriver(t, largeSettings(), WholeList(1000, 1, 6, 0))
 			d.holdMessages(n, 1000)
 			return d.sender
 		})})
 		waiting.Points = append(waiting.Points, Point{float64(n / 4), heapBytes(func() *logic.Sender {
-			d := newDriver(t, waitingSettings(), FullList(1000, 1, 6, blockingRate))
+			d := newDriver(t, waitingSettings(), WholeList(1000, 1, 6, blockingRate))
 			d.holdMessages(n/4, 1000)
 			return d.sender
 		})})
 		keys.Points = append(keys.Points, Point{float64(n), heapBytes(func() *logic.Sender {
-			d := newDriver(t, largeSettings(), FullList(1000, 1, 6, 0))
+			d := newDriver(t, largeSettings(), WholeList(1000, 1, 6, 0))
 			d.orderKeys = true
 			d.holdMessages(n, 1000)
 			d.step(d.completeOldest(len(d.openCalls))...)
@@ -263,7 +263,7 @@
 	start := Series{Name: "list: a start of the module from a saved list", XUnit: "entries", YUnit: "ms", TargetX: TargetEntries,
 		Limit: 10_000, Fixed: fixed, Note: "the limit is the time until nine in ten restarted processes are ready"}
 	for _, n := range listSizes {
-		list := FullList(n/2, 2, 6, DestinationRate*2)
+		list := WholeList(n/2, 2, 6, DestinationRate*2)
 		d := newDriver(t, largeSettings(), list)
 		changes := 0
 		step := func() { d.step(toggleEntry(changes, list)); changes++ }
@@ -271,7 +271,7 @@
 		allocated.Points = append(allocated.Points, Point{float64(n), testing.AllocsPerRun(1000, step)})
 		whole.Points = append(whole.Points, Point{float64(n), cpuMicros(1, func() { d.step(list) }) / 1000})
 		saved := list
-		saved.Form, saved.Stale = logic.ListCached, true
+		saved.Form, saved.Stale = logic.ListSaved, true
 		start.Points = append(start.Points, Point{float64(n), cpuMicros(1, func() { newDriver(t, largeSettings(), saved) }) / 1000})
 	}
 	for _, s := range []Series{one, allocated, whole, start} {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -74,9 +74,9 @@
 var weightModes = map[string]logic.WeightsMode{"": logic.WeightsOff, "off": logic.WeightsOff,
 	"nominal": logic.WeightsNominal, "rough": logic.WeightsRough, "live": logic.WeightsRough}
 
-// toMicros converts seconds of the JSON text to whole microseconds. It limits them to ±1e9 s, so that the conversion cannot
+// secondsToMicros converts seconds of the JSON text to whole microseconds. It limits them to ±1e9 s, so that the conversion cannot
 // overflow and values out of bounds stay out of bounds.
-func toMicros(seconds float64) logic.Micros {
+func secondsToMicros(seconds float64) logic.Micros {
 	return logic.Micros(math.Round(max(-1e9, min(seconds, 1e9)) * float64(logic.Second)))
 }
 
@@ -106,7 +106,7 @@
 		return Deployment{}, err
 	}
 	settings, invalid := object.settings()
-	return Deployment{Settings: settings, SenderIndex: object.Sender, Zones: object.Zones, ConnectTimeout: toMicros(object.Limits.ConnectTimeout),
+	return Deployment{Settings: settings, SenderIndex: object.Sender, Zones: object.Zones, ConnectTimeout: secondsToMicros(object.Limits.ConnectTimeout),
 		InvalidValues: errors.Join(err, invalid)}, nil
 }
 
@@ -115,14 +115,14 @@
 func (s *setup) settings() (logic.Settings, error) {
 	var invalid []error
 	settings := logic.Settings{Senders: s.Balancers, Zone: s.Zone, Zones: len(s.Zones), Slots: s.Specifics.CallSlots,
-		ConnIdle: toMicros(s.Limits.ConnIdle), ConnCalls: s.Limits.Multiplex, ConnPrice: s.Charges.Handshake,
-		MaxOpen: s.Limits.MaxOpen, MaxTries: s.Limits.MaxAttempts, Tick: toMicros(s.Tick),
+		ConnIdle: secondsToMicros(s.Limits.ConnIdle), ConnCalls: s.Limits.Multiplex, ConnPrice: s.Charges.Handshake,
+		MaxOpen: s.Limits.MaxOpen, MaxTries: s.Limits.MaxAttempts, Tick: secondsToMicros(s.Tick),
 		ListOnRequest: s.MembershipMode == "on_request", MayProbe: s.Limits.Probing, MayCancel: s.Limits.MayCancel,
 		AdviseRetry: s.Limits.RetryAfter, WorthHalves: s.Specifics.Late == "halves",
-		MaxRetryAfter: toMicros(s.Limits.MaxRetryAfter), OverShareWorth: s.OverShareWorth,
-		DrainGrace: toMicros(s.Rules.DrainGrace), FallMultiple: s.Rules.FallMultiple,
-		FallWindow: toMicros(s.Rules.FallWindow), ColdFrom: s.Rules.ColdFrom, WarmAfter: toMicros(s.Rules.WarmAfter),
-		KeyQuiet: toMicros(s.Rules.KeyQuiet), LimitLeftIndex: -1, LimitIndex: -1}
+		MaxRetryAfter: secondsToMicros(s.Limits.MaxRetryAfter), OverShareWorth: s.OverShareWorth,
+		DrainGrace: secondsToMicros(s.Rules.DrainGrace), FallMultiple: s.Rules.FallMultiple,
+		FallWindow: secondsToMicros(s.Rules.FallWindow), ColdFrom: s.Rules.ColdFrom, WarmAfter: secondsToMicros(s.Rules.WarmAfter),
+		KeyQuiet: secondsToMicros(s.Rules.KeyQuiet), LimitLeftIndex: -1, LimitIndex: -1}
 	weights, ok := weightModes[s.Weights]
 	if !ok {
 		invalid = append(invalid, fmt.Errorf("weights: unknown value %q, treated as off", s.Weights))
@@ -134,9 +134,9 @@
 			effect = logic.Unsafe
 			invalid = append(invalid, fmt.Errorf("classes[%d].idempotency: unknown value %q, treated as fragile", i, class.Idempotency))
 		}
-		settings.Classes = append(settings.Classes, logic.Class{Name: class.Name, Aim: toMicros(class.Aim), Deadline: toMicros(class.Deadline),
+		settings.Classes = append(settings.Classes, logic.Class{Name: class.Name, Aim: secondsToMicros(class.Aim), Deadline: secondsToMicros(class.Deadline),
 			Worth: class.Worth, LateWorth: class.LateWorth, Effect: effect, ByZone: class.Group != "all" && class.Group != "",
-			Window: toMicros(class.Window), KeepOrder: class.KeepOrder})
+			Window: secondsToMicros(class.Window), KeepOrder: class.KeepOrder})
 	}
 	for _, tenant := range s.Tenants {
 		settings.Tenants = append(settings.Tenants, logic.Tenant{Name: tenant.Name, QuotaRPS: tenant.QuotaRPS})
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -55,7 +55,7 @@
 	}
 	item := func(instance int, event logic.Event) Item { return Item{Instance: instance, Event: event} }
 	want := []Item{
-		item(3, logic.ListUpdate{Form: logic.ListCached, Entries: []logic.Entry{{Endpoint: 51530247, Destination: 57, Nominal: 1},
+		item(3, logic.ListUpdate{Form: logic.ListSaved, Entries: []logic.Entry{{Endpoint: 51530247, Destination: 57, Nominal: 1},
 			{Endpoint: 747639282, Zone: 1, Destination: 57, State: logic.Draining, Nominal: 1.5}}}),
 		item(3, logic.ListUpdate{Entries: []logic.Entry{{Endpoint: 1, Destination: 58, State: logic.Removed}}}),
 		item(3, logic.ListUpdate{Form: logic.ListRequestFailed}),
--- a/logic/bench_test.go
+++ b/logic/bench_test.go
@@ -18,7 +18,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			list := ListUpdate{Form: ListFull}
+			list := ListUpdate{Form: ListWhole}
 			for i := range size.endpoints {
 				list.Entries = append(list.Entries, Entry{Endpoint: EndpointID(i + 1), Destination: int64(i % 10), Nominal: 30})
 			}
--- a/logic/decision_test.go
+++ b/logic/decision_test.go
@@ -304,7 +304,7 @@
 	settings := baseSettings()
 	settings.ListOnRequest = true
 	h := newHarness(t, settings)
-	if n := len(actionsOf[Listen](h.step(0, ListUpdate{Form: ListCached, Entries: fullList(2).Entries}))); n != 1 {
+	if n := len(actionsOf[Listen](h.step(0, ListUpdate{Form: ListSaved, Entries: fullList(2).Entries}))); n != 1 {
 		t.Fatal("the list was not requested at once")
 	}
 	h.step(1, ListUpdate{Form: ListRequestFailed})
@@ -325,7 +325,7 @@
 	}
 	// A full list replaces the old one, and nothing new is sent to a draining endpoint.
 	draining := Entry{Endpoint: 3, Destination: 9, State: Draining}
-	h.step(5, ListUpdate{Form: ListFull, Entries: append(fullList(1).Entries, draining)})
+	h.step(5, ListUpdate{Form: ListWhole, Entries: append(fullList(1).Entries, draining)})
 	for i := range 4 {
 		at := 6 + float64(i)
 		for _, c := range actionsOf[CallOut](h.step(at, h.newMessage(0))) {
@@ -702,7 +702,7 @@
 		settings.MaxListAge = tc.maxListAge
 		h := newHarness(t, settings)
 		saved := fullList(1)
-		saved.Form, saved.Stale = ListCached, tc.stale
+		saved.Form, saved.Stale = ListSaved, tc.stale
 		h.step(0, saved)
 		evs := []Event{h.newMessage(0)}
 		if tc.update != nil {
--- a/logic/example_test.go
+++ b/logic/example_test.go
@@ -26,7 +26,7 @@
 			}
 		}
 	}
-	show(0, logic.ListUpdate{Form: logic.ListFull, Entries: []logic.Entry{{Endpoint: 7, Destination: 3}}})
+	show(0, logic.ListUpdate{Form: logic.ListWhole, Entries: []logic.Entry{{Endpoint: 7, Destination: 3}}})
 	show(1*second, logic.NewMessage{ID: "n1", TimeLeft: 20 * second, Destination: 3, Tenant: -1})
 	show(1100000, logic.AttemptResult{ID: "n1", Endpoint: 7, Attempt: 0, Outcome: logic.Rejected, RetryAfter: second / 2})
 	show(1500000, logic.TimerExpired{}) // the retry-after time is not over: nothing is sent
--- a/logic/fleet_test.go
+++ b/logic/fleet_test.go
@@ -179,7 +179,7 @@
 	recovered := fs.messages
 	fs.sender, fs.stopped, fs.knowsOutage, fs.messages = s, false, false, map[string]*fleetMessage{}
 	fs.generation++
-	list := ListUpdate{Form: ListFull}
+	list := ListUpdate{Form: ListWhole}
 	for i := range f.deployment.endpoints {
 		entry := Entry{Endpoint: EndpointID(i + 1), Destination: 9}
 		if f.deployment.limitSource > 0 {
--- a/logic/golden_test.go
+++ b/logic/golden_test.go
@@ -147,7 +147,7 @@
 	case 1:
 		entry.State = Removed
 	case 2: // a full list without some of the endpoints
-		update := ListUpdate{Form: ListFull}
+		update := ListUpdate{Form: ListWhole}
 		for j, entry := range g.entries {
 			if entry.State != Removed && j%17 != i%17 {
 				update.Entries = append(update.Entries, entry)
@@ -155,7 +155,7 @@
 		}
 		return update
 	case 3:
-		update := ListUpdate{Form: ListFull}
+		update := ListUpdate{Form: ListWhole}
 		for j := range g.entries {
 			g.entries[j].State = Ready
 			update.Entries = append(update.Entries, g.entries[j])
@@ -183,7 +183,7 @@
 				Zone: endpoint % max(g.settings.Zones, 1), Nominal: float64(5 + destination%40)})
 		}
 	}
-	g.step(ListUpdate{Form: ListCached, Entries: slices.Clone(g.entries), Stale: g.rnd.IntN(2) == 0})
+	g.step(ListUpdate{Form: ListSaved, Entries: slices.Clone(g.entries), Stale: g.rnd.IntN(2) == 0})
 	for i := range 1200 {
 		g.now += Micros(g.rnd.IntN(30_000))
 		var evs []Event
--- a/logic/harness_test.go
+++ b/logic/harness_test.go
@@ -45,7 +45,7 @@
 
 // fullList returns a full list of n endpoints of destination 9, with IDs from 1.
 func fullList(n int) ListUpdate {
-	ev := ListUpdate{Form: ListFull}
+	ev := ListUpdate{Form: ListWhole}
 	for i := 1; i <= n; i++ {
 		ev.Entries = append(ev.Entries, Entry{Endpoint: EndpointID(i), Destination: 9})
 	}
@@ -157,7 +157,7 @@
 // play runs 40 seconds of random traffic, and 20 more in which its messages end.
 func (rc *ruleChecker) play() {
 	var list ListUpdate
-	list.Form = ListCached
+	list.Form = ListSaved
 	for i := 0; i < 8; i++ {
 		entry := Entry{Endpoint: EndpointID(100 + i), Destination: int64(1 + i/2), Kind: (i / 2) % len(rc.settings.Kinds),
 			Zone: i % max(rc.settings.Zones, 1), Nominal: 6}
--- a/logic/list_lease.go
+++ b/logic/list_lease.go
@@ -58,7 +58,7 @@
 		s.listSaved = s.listSaved && !watchFailed
 		s.agentUnresponsive = ev.Unresponsive && !watchFailed
 	} else {
-		s.listSaved = ev.Form == ListCached && ev.Stale
+		s.listSaved = ev.Form == ListSaved && ev.Stale
 		s.agentUnresponsive = false
 	}
 	if s.watchOpen = ev.Form == ListWatchOpen; s.watchOpen {
--- a/logic/memory_test.go
+++ b/logic/memory_test.go
@@ -10,7 +10,7 @@
 
 // largeList returns a full list of destinations with endpointsEach endpoints each.
 func largeList(destinations, endpointsEach int) ListUpdate {
-	list := ListUpdate{Form: ListFull, Entries: make([]Entry, 0, destinations*endpointsEach)}
+	list := ListUpdate{Form: ListWhole, Entries: make([]Entry, 0, destinations*endpointsEach)}
 	for destination := range destinations {
 		for endpoint := range endpointsEach {
 			list.Entries = append(list.Entries, Entry{Endpoint: EndpointID(destination*endpointsEach + endpoint + 1),
--- a/logic/pushed_list_test.go
+++ b/logic/pushed_list_test.go
@@ -52,7 +52,7 @@
 		settings.ListPushed, settings.DrainGrace = true, grace
 		h := newHarness(t, settings)
 		first := fullList(1)
-		first.Form, first.Stale = ListCached, tc.saved
+		first.Form, first.Stale = ListSaved, tc.saved
 		h.step(0, first)
 		for _, e := range tc.updates {
 			h.step(e.at, e.update)
@@ -70,7 +70,7 @@
 	settings.ListPushed, settings.DrainGrace = true, Second
 	h := newHarness(t, settings)
 	first := fullList(1)
-	first.Form, first.Stale = ListCached, true
+	first.Form, first.Stale = ListSaved, true
 	h.step(0, first)
 	return h
 }
--- a/logic/rate_limit.go
+++ b/logic/rate_limit.go
@@ -78,7 +78,7 @@
 	if l.tokens >= 1-1e-9 {
 		return 0
 	}
-	return s.now + toMicros((1-l.tokens)/rate*float64(Second)) + 1
+	return s.now + clampMicros((1-l.tokens)/rate*float64(Second)) + 1
 }
 
 // reducePace lowers the pace after a rejection: the first pace is the rate of the last second, and a pace
--- a/logic/restart_test.go
+++ b/logic/restart_test.go
@@ -158,7 +158,7 @@
 	for i := range list.Entries {
 		list.Entries[i].Nominal = 10
 	}
-	list.Form, list.Stale = ListCached, true
+	list.Form, list.Stale = ListSaved, true
 	return settings, list
 }
 
@@ -242,7 +242,7 @@
 func TestStopSendsMessagesThatWouldExpireInTheRestart(t *testing.T) {
 	settings, list := lowLimitDeployment(200)
 	h := newHarness(t, settings)
-	list.Form, list.Stale = ListFull, false
+	list.Form, list.Stale = ListWhole, false
 	var evs []Event
 	for _, timeLeft := range []float64{3, 4, 4, 9, 9} {
 		m := h.newMessage(0)
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -15,7 +15,7 @@
 	maxSenders = 10_000
 	// Longest span that a setting may have.
 	maxSpan = 3600 * Second
-	// Longest computed wait, see toMicros.
+	// Longest computed wait, see clampMicros.
 	maxWait = 24 * maxSpan
 	// Calls a second. A limit above this counts as not known.
 	maxRateRPS = 1e12
--- a/logic/slow_start.go
+++ b/logic/slow_start.go
@@ -11,7 +11,7 @@
 
 const (
 	// Share of the traffic of an outage that is retried at the same time.
-	resentTrafficShare = 1.0
+	retriedTrafficShare = 1.0
 )
 
 // budgetAllowsAt returns when the budget of the slow start allows the next call to e; 0 if now or if
@@ -51,13 +51,13 @@
 		// Many senders: this sender's share is its part of all messages since the outage began. These parts
 		// add up to the whole traffic, however many senders noticed the outage. The one call goes in a
 		// longer window, at a random time in it.
-		ownRate := resentTrafficShare * float64(e.destination.arrivals) /
+		ownRate := retriedTrafficShare * float64(e.destination.arrivals) /
 			seconds(s.now-e.destination.lastOutageAt+assumedOutage)
 		if e.limiter != e.destination.limiter {
 			ownRate /= float64(len(e.destination.endpoints))
 		}
 		maxCalls = max(maxCalls, callsPerRate*min(ownRate, capacity/2))
-		window = toMicros(float64(window) / min(maxCalls, 1))
+		window = clampMicros(float64(window) / min(maxCalls, 1))
 		at := max(e.limiter.waitUntil, e.destination.lastOutageAt)
 		if n := len(sentTimes); n > 0 {
 			at = max(at, sentTimes[n-1]+window/2)
--- a/logic/state.go
+++ b/logic/state.go
@@ -505,9 +505,9 @@
 // seconds returns a span in seconds.
 func seconds(t Micros) float64 { return float64(t) / float64(Second) }
 
-// toMicros returns a number of microseconds as a span from 0 to maxWait. A larger number, which could
+// clampMicros returns a number of microseconds as a span from 0 to maxWait. A larger number, which could
 // overflow, and NaN count as maxWait.
-func toMicros(x float64) Micros {
+func clampMicros(x float64) Micros {
 	if !(x <= float64(maxWait)) {
 		return maxWait
 	}
--- a/logic/types.go
+++ b/logic/types.go
@@ -168,8 +168,8 @@
 // The forms of a list update.
 const (
 	ListDelta          ListForm = iota // changes only
-	ListFull                           // the whole list; endpoints that are not on it are removed
-	ListCached                         // the whole list as saved before the start; it may be out of date
+	ListWhole                          // the whole list; endpoints that are not on it are removed
+	ListSaved                          // the whole list as saved before the start; it may be out of date
 	ListRequestFailed                  // a request for the list failed, or a watch ended; the list stays in use
 	ListAnswerBegun                    // an answer has begun to arrive and will take some time
 	ListAnswerUnusable                 // an answer arrived that cannot be used; the caller requests it again
@@ -181,7 +181,7 @@
 type ListUpdate struct {
 	Form         ListForm
 	Entries      []Entry
-	Stale        bool // ListCached: changes may have been missed; an update with them is on its way
+	Stale        bool // ListSaved: changes may have been missed; an update with them is on its way
 	Unresponsive bool // ListRequestFailed: there was no answer at all
 }
 
