--- a/internal/discovery/limits_test.go
+++ b/internal/discovery/limits_test.go
@@ -62,7 +62,7 @@
 			writeRest(w)
 		}, func(vt *virtualTimeTest) {
 			time.Sleep(5 * time.Second)
-			if n, last := vt.calls(); n < 2 || vt.log.count("the list stays as it is") != n-1 || vt.log.count("timed out") != n-1 {
+			if n, last := vt.calls(); n < 2 || vt.log.count("the list stays as it is") != n-1 || vt.log.count("timed out after") != n-1 {
 				t.Errorf("%s: %d calls, the last after %v, %d log lines", name, n, last, vt.log.count("the list stays as it is"))
 			}
 			for ev := vt.nextEvent(0); ev != nil; ev = vt.nextEvent(0) {
